--- a/retrier/breaker.go
+++ b/retrier/breaker.go
@@ -8,16 +8,15 @@
 	"time"
 )
 
-// Bounds of a breaker.
 const (
-	failuresToOpen = 3
-	firstPause     = 500 * time.Millisecond
-	longestPause   = 30 * time.Second
+	failureThreshold = 3
+	initialPause     = 500 * time.Millisecond
+	maxPause         = 30 * time.Second
 )
 
-// Breaker keeps requests away from one upstream after failures in a row, and
-// lets one through after a pause to see whether it is back. The zero value is
-// closed and ready. It is safe for concurrent use.
+// Breaker is a circuit breaker for one upstream. It opens after consecutive
+// failures and allows one probe after each pause, which doubles up to a maximum.
+// The zero value is closed and ready to use. It is safe for concurrent use.
 type Breaker struct {
 	mu       sync.Mutex
 	failures int
@@ -26,12 +25,12 @@
 	probing  bool
 }
 
-// Allow reports whether a request may be sent now. While a breaker is open, one
-// request is allowed after each pause.
+// Allow reports whether a request may be sent at now. An open breaker allows one
+// probe after each pause; Record must report its result.
 func (b *Breaker) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.failures < failuresToOpen {
+	if b.failures < failureThreshold {
 		return true
 	}
 	if now.Before(b.until) || b.probing {
@@ -41,15 +40,15 @@
 	return true
 }
 
-// Open reports whether requests are kept away now, without taking the place of
-// the one that may probe.
+// Open reports whether requests are rejected at now. Unlike Allow, it doesn't
+// start a probe.
 func (b *Breaker) Open(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.failures >= failuresToOpen && (now.Before(b.until) || b.probing)
+	return b.failures >= failureThreshold && (now.Before(b.until) || b.probing)
 }
 
-// Record notes how a request that was allowed ended.
+// Record records whether an allowed request succeeded.
 func (b *Breaker) Record(now time.Time, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,8 +58,8 @@
 		return
 	}
 	b.failures++
-	if b.failures >= failuresToOpen {
-		b.pause = min(longestPause, max(firstPause, 2*b.pause))
+	if b.failures >= failureThreshold {
+		b.pause = min(maxPause, max(initialPause, 2*b.pause))
 		b.until = now.Add(b.pause)
 	}
 }
--- a/retrier/budget.go
+++ b/retrier/budget.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package retrier bounds retries so that they cannot amplify an outage, and
-// keeps requests away from upstreams that do not answer.
+// Package retrier provides retry budgets, so that retries cannot amplify an
+// outage, and circuit breakers for upstreams that do not answer.
 //
 // # Usage
 //
@@ -16,46 +16,46 @@
 
 import "sync"
 
-// Bounds of the savings.
 const (
-	maxSavings   = 20 // maxSavings is the number of retries that a quiet time can save up.
-	firstSavings = 10 // firstSavings is what a host begins with, so that the first failures of a quiet one can be retried.
+	maxTokens     = 20 // maxTokens bounds the retries accumulated while there are few failures.
+	initialTokens = 10 // initialTokens allows retries before enough requests have been counted.
 )
 
-// Budget allows retries as a share of requests. It is safe for concurrent use.
+// Budget is a token bucket that allows retries as a share of requests. It is safe
+// for concurrent use.
 type Budget struct {
-	mu      sync.Mutex
-	share   float64
-	most    float64 // most is the number of retries that can be saved up.
-	savings float64
+	mu       sync.Mutex
+	share    float64
+	capacity float64 // capacity is the largest number of accumulated retries.
+	tokens   float64
 }
 
-// NewBudget returns a budget for a share of requests.
+// NewBudget returns a Budget that allows retries up to share of the requests.
 func NewBudget(share float64) *Budget {
-	return &Budget{share: share, most: maxSavings, savings: firstSavings}
+	return &Budget{share: share, capacity: maxTokens, tokens: initialTokens}
 }
 
-// SetShare replaces the share.
+// SetShare sets the share of requests that may be retries.
 func (b *Budget) SetShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.share = share
 }
 
-// Request notes a first attempt.
+// Request counts the first attempt of a request.
 func (b *Budget) Request() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.savings = min(b.most, b.savings+b.share)
+	b.tokens = min(b.capacity, b.tokens+b.share)
 }
 
-// Withdraw takes one retry out of the budget and reports whether it could.
+// Withdraw takes one retry from the budget and reports whether one was left.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.savings < 1 || b.share == 0 {
+	if b.tokens < 1 || b.share == 0 {
 		return false
 	}
-	b.savings--
+	b.tokens--
 	return true
 }
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBudgetCannotAmplify fails every request: the retries stay a share of
-// them.
+// TestBudgetCannotAmplify checks that retries stay a share of requests when every
+// attempt fails.
 func TestBudgetCannotAmplify(t *testing.T) {
 	b := NewBudget(0.1)
 	retries := 0
@@ -21,7 +21,7 @@
 			retries++
 		}
 	}
-	assert.Assert(t, retries <= 1000+maxSavings, "%d", retries)
+	assert.Assert(t, retries <= 1000+maxTokens, "%d", retries)
 	none := NewBudget(0)
 	none.Request()
 	assert.Assert(t, !none.Withdraw())
@@ -30,17 +30,17 @@
 func TestBreaker(t *testing.T) {
 	var b Breaker
 	now := time.Unix(1000, 0)
-	for range failuresToOpen {
+	for range failureThreshold {
 		assert.Assert(t, b.Allow(now))
 		b.Record(now, false)
 	}
 	assert.Assert(t, b.Open(now) && !b.Allow(now))
-	now = now.Add(firstPause)
-	assert.Assert(t, b.Allow(now))  // one may try
-	assert.Assert(t, !b.Allow(now)) // and no other
+	now = now.Add(initialPause)
+	assert.Assert(t, b.Allow(now)) // one probe
+	assert.Assert(t, !b.Allow(now))
 	b.Record(now, false)
-	assert.Assert(t, !b.Allow(now.Add(firstPause))) // the pause has grown
-	now = now.Add(2 * firstPause)
+	assert.Assert(t, !b.Allow(now.Add(initialPause))) // the pause has doubled
+	now = now.Add(2 * initialPause)
 	assert.Assert(t, b.Allow(now))
 	b.Record(now, true)
 	assert.Assert(t, !b.Open(now) && b.Allow(now) && b.Allow(now))
--- a/retrier/shared.go
+++ b/retrier/shared.go
@@ -5,24 +5,23 @@
 
 import "sync"
 
-// Figures of a shared budget.
 const (
-	// cautionShare is the part of the allowance that is used. The rest covers
-	// requests that are counted in another window by whoever checks.
-	cautionShare = 0.75
-	// fewestHosts is assumed while fewer hosts are known, so that a host that is
-	// cut off from the others does not take all of the allowance.
-	fewestHosts = 8
+	// usableShare is the part of the allowance that is used. The rest is a margin
+	// for services that count requests in other windows.
+	usableShare = 0.75
+	// minHosts is the smallest number of hosts assumed, so that a partitioned host
+	// does not use the whole allowance.
+	minHosts = 8
 )
 
-// Allowance bounds the retries of all hosts together towards one service.
+// Allowance bounds the retries of all hosts together to one service.
 type Allowance struct {
-	Share float64 // Share of the requests that may be retries.
-	Slack float64 // Slack is the number of retries beyond the share in one window.
+	Share float64 // Share is the share of requests that may be retries.
+	Slack float64 // Slack is the number of retries allowed beyond Share in one window.
 }
 
-// Shared keeps one budget for each service, each a host's part of what all
-// hosts may spend. It is safe for concurrent use.
+// Shared holds this host's part of the retry budget of each service. It is safe
+// for concurrent use.
 type Shared struct {
 	mu        sync.Mutex
 	allowance Allowance
@@ -30,43 +29,42 @@
 	budgets   map[string]*Budget
 }
 
-// NewShared returns budgets under an allowance.
+// NewShared returns a Shared whose budgets divide a among the hosts.
 func NewShared(a Allowance) *Shared {
-	return &Shared{allowance: a, hosts: fewestHosts, budgets: make(map[string]*Budget)}
+	return &Shared{allowance: a, hosts: minHosts, budgets: make(map[string]*Budget)}
 }
 
-// SetHosts tells how many hosts share the allowance. A budget never grows by it:
-// what was saved stays within the smaller part.
+// SetHosts sets the number of hosts that share the allowance. Accumulated retries
+// above a budget's new capacity are dropped.
 func (s *Shared) SetHosts(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts = max(n, fewestHosts)
+	s.hosts = max(n, minHosts)
 	for _, b := range s.budgets {
-		b.setMost(s.most())
+		b.setCapacity(s.capacity())
 	}
 }
 
-// SetAllowance changes what all hosts may spend.
+// SetAllowance sets the allowance of all hosts together.
 func (s *Shared) SetAllowance(a Allowance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.allowance = a
 	for _, b := range s.budgets {
-		b.SetShare(cautionShare * a.Share)
-		b.setMost(s.most())
+		b.SetShare(usableShare * a.Share)
+		b.setCapacity(s.capacity())
 	}
 }
 
-func (s *Shared) most() float64 { return cautionShare * s.allowance.Slack / float64(s.hosts) }
+func (s *Shared) capacity() float64 { return usableShare * s.allowance.Slack / float64(s.hosts) }
 
 func (s *Shared) budget(service string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[service]
 	if b == nil {
-		// A host begins with little: one that is restarted again and again must
-		// not begin each time with a full purse.
-		b = &Budget{share: cautionShare * s.allowance.Share, most: s.most(), savings: min(1, s.most())}
+		// Start nearly empty, so that repeated restarts do not exceed the allowance.
+		b = &Budget{share: usableShare * s.allowance.Share, capacity: s.capacity(), tokens: min(1, s.capacity())}
 		s.budgets[service] = b
 	}
 	return b
@@ -75,12 +73,13 @@
 // Request counts a first attempt at a service.
 func (s *Shared) Request(service string) { s.budget(service).Request() }
 
-// Withdraw reports whether a retry at a service is allowed, and counts it.
+// Withdraw takes one retry from the budget of a service and reports whether one
+// was left.
 func (s *Shared) Withdraw(service string) bool { return s.budget(service).Withdraw() }
 
-func (b *Budget) setMost(most float64) {
+func (b *Budget) setCapacity(capacity float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = most
-	b.savings = min(b.savings, most)
+	b.capacity = capacity
+	b.tokens = min(b.tokens, capacity)
 }
--- a/retrier/shared_test.go
+++ b/retrier/shared_test.go
@@ -9,27 +9,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSharedStaysWithinAllowance: whatever its number, hosts together never
-// spend more than the allowance, even if every one of them has saved all it can.
+// TestSharedStaysWithinAllowance checks that any number of hosts together stay
+// within the allowance, even if all their budgets are full.
 func TestSharedStaysWithinAllowance(t *testing.T) {
 	a := Allowance{Share: 0.2, Slack: 56}
 	for _, hosts := range []int{1, 6, 8, 11, 84} {
-		spent, requests := 0, 0
+		retries, requests := 0, 0
 		for range hosts {
 			s := NewShared(a)
 			s.SetHosts(hosts)
 			for range 1000 {
-				s.Request("x") // a quiet time
+				s.Request("x") // fills the budget
 			}
 			for range 300 {
 				s.Request("x")
 				requests++
 				for s.Withdraw("x") {
-					spent++
+					retries++
 				}
 			}
 		}
-		assert.Assert(t, float64(spent) <= a.Share*float64(requests)+a.Slack, "%d hosts: %d of %d", hosts, spent, requests)
+		assert.Assert(t, float64(retries) <= a.Share*float64(requests)+a.Slack, "%d hosts: %d of %d", hosts, retries, requests)
 	}
 }
 
