--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package limiter bounds what each workspace takes: a rate by token bucket and
-// a number of open requests. A host enforces its share of a limit that holds
-// over all hosts; package file share.go decides the shares.
+// Package limiter limits the request rate of each workspace with a token bucket,
+// and its number of concurrent requests. Each host enforces its share of a limit
+// over all hosts: a Divider on one host grants shares, and Shares on each host
+// tracks those granted to it.
 //
 // # Usage
 //
@@ -19,33 +20,32 @@
 	"time"
 )
 
-// Limit is what one workspace may take at this host.
+// Limit bounds the requests of one workspace.
 type Limit struct {
 	Rate        float64 // Rate is in requests per second.
-	Burst       float64 // Burst is the depth of the bucket.
-	Concurrency float64 // Concurrency is the number of open requests.
+	Burst       float64 // Burst is the capacity of the token bucket.
+	Concurrency float64 // Concurrency is the largest number of open requests.
 }
 
-// Refusal tells which limit was met.
+// Refusal says which limit rejected a request.
 type Refusal string
 
-// The refusals.
+// Reasons of a refusal.
 const (
 	RefusedRate        Refusal = "Rate"
 	RefusedConcurrency Refusal = "Concurrency"
 	RefusedUnknown     Refusal = "Unknown"
 )
 
-// Result is the answer to a request for admission.
+// Result is the result of Admit.
 type Result struct {
 	Admitted   bool
 	Refusal    Refusal
-	RetryAfter time.Duration // RetryAfter is when the refusal may end.
+	RetryAfter time.Duration // RetryAfter is the estimated time until a retry can be admitted.
 }
 
-// concurrencyRetry is the advice to callers that met the limit of open
-// requests, whose end cannot be computed.
-const concurrencyRetry = time.Second
+// concurrencyRetryAfter is fixed, since the end of an open request is not known.
+const concurrencyRetryAfter = time.Second
 
 // Limiter admits requests. It is safe for concurrent use.
 type Limiter struct {
@@ -54,26 +54,25 @@
 }
 
 type bucket struct {
-	limit  Limit
-	tokens float64
-	at     time.Time
-	open   int
-	demand float64 // demand counts requests since the last reading.
+	limit    Limit
+	tokens   float64
+	filledAt time.Time // filledAt is the time of the last refill.
+	open     int
+	requests float64 // requests counts requests since the last call of Read.
 }
 
-// New returns a limiter that knows no workspace.
+// New returns a Limiter without workspaces.
 func New() *Limiter { return &Limiter{workspaces: make(map[string]*bucket)} }
 
-// Configure sets the limit of a workspace. A deeper bucket gets the difference
-// as tokens and a shallower one gives it up, below zero if need be. So shares
-// that move to and fro make no tokens: what all hosts admit above the rate is at
-// most one burst for each host, however often shares move.
+// Configure sets the limit of a workspace. A change of Burst is added to the
+// tokens, which can become negative: however often shares move between hosts, they
+// admit at most one burst per host above the rate.
 func (l *Limiter) Configure(now time.Time, workspace string, limit Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.workspaces[workspace]
 	if b == nil {
-		l.workspaces[workspace] = &bucket{limit: limit, tokens: limit.Burst, at: now}
+		l.workspaces[workspace] = &bucket{limit: limit, tokens: limit.Burst, filledAt: now}
 		return
 	}
 	b.refill(now)
@@ -81,7 +80,7 @@
 	b.limit = limit
 }
 
-// Retain forgets the workspaces for which keep is false.
+// Retain removes the workspaces for which keep returns false.
 func (l *Limiter) Retain(keep func(workspace string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,13 +92,14 @@
 }
 
 func (b *bucket) refill(now time.Time) {
-	if d := now.Sub(b.at).Seconds(); d > 0 {
+	if d := now.Sub(b.filledAt).Seconds(); d > 0 {
 		b.tokens = min(b.limit.Burst, b.tokens+d*b.limit.Rate)
-		b.at = now
+		b.filledAt = now
 	}
 }
 
-// Admit takes one request of a workspace, to be ended by Done.
+// Admit decides whether a request of a workspace may proceed. If it is admitted,
+// the caller must call Done at its end.
 func (l *Limiter) Admit(now time.Time, workspace string) Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,10 +107,10 @@
 	if b == nil {
 		return Result{Refusal: RefusedUnknown}
 	}
-	b.demand++
+	b.requests++
 	b.refill(now)
 	if float64(b.open)+1 > max(1, b.limit.Concurrency) {
-		return Result{Refusal: RefusedConcurrency, RetryAfter: concurrencyRetry}
+		return Result{Refusal: RefusedConcurrency, RetryAfter: concurrencyRetryAfter}
 	}
 	if b.tokens < 1 {
 		missing := (1 - b.tokens) / max(b.limit.Rate, 1e-3)
@@ -121,7 +121,7 @@
 	return Result{Admitted: true}
 }
 
-// Done ends a request that was admitted.
+// Done marks the end of an admitted request.
 func (l *Limiter) Done(workspace string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,26 +130,26 @@
 	}
 }
 
-// Usage is what one workspace has asked for.
+// Usage is the recent use of one workspace.
 type Usage struct {
 	Workspace string
-	Requests  float64 // Requests is the number since the last reading.
+	Requests  float64 // Requests counts the requests since the last call of Read.
 	Open      int
 	Limit     Limit
 }
 
-// Read returns the usage of every workspace with demand or open requests and
-// starts a new count.
+// Read returns the usage of each workspace with new or open requests, and resets
+// the counts of requests.
 func (l *Limiter) Read() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Usage
 	for w, b := range l.workspaces {
-		if b.demand == 0 && b.open == 0 {
+		if b.requests == 0 && b.open == 0 {
 			continue
 		}
-		out = append(out, Usage{Workspace: w, Requests: b.demand, Open: b.open, Limit: b.limit})
-		b.demand = 0
+		out = append(out, Usage{Workspace: w, Requests: b.requests, Open: b.open, Limit: b.limit})
+		b.requests = 0
 	}
 	return out
 }
--- a/limiter/share.go
+++ b/limiter/share.go
@@ -9,67 +9,68 @@
 	"time"
 )
 
-// Demand is what one host needs of limits that hold over all hosts, and what
-// it believes to have been granted.
+// Demand is a host's request for shares of the limits over all hosts, with the
+// shares that it holds.
 type Demand struct {
 	Sequence   uint64
 	Workspaces []WorkspaceDemand
 }
 
-// WorkspaceDemand is one workspace's part of a demand.
+// WorkspaceDemand is the demand for one workspace.
 type WorkspaceDemand struct {
 	Workspace string
-	Rate      float64 // Rate is the wanted rate, in requests per second.
-	Granted   float64 // Granted is the share of the limit that the host holds now, from 0 to 1.
+	Rate      float64 // Rate is in requests per second.
+	Granted   float64 // Granted is the share of the limit that the host holds, from 0 to 1.
 }
 
-// Grants answer a demand.
+// Grants is the reply to a Demand.
 type Grants struct {
 	Sequence uint64 // Sequence is that of the demand.
-	Epoch    uint64 // Epoch is of the granting host's lease.
+	Epoch    uint64 // Epoch is that of the granting host's lease.
 	Shares   []WorkspaceGrant
 }
 
-// WorkspaceGrant is the share of one workspace's limit for one host.
+// WorkspaceGrant is the share of one workspace's limit granted to a host.
 type WorkspaceGrant struct {
 	Workspace string
 	Share     float64 // Share is from 0 to 1.
 }
 
-// Reserve is the part of each limit that is never granted but split evenly
-// over all hosts: what a host may use that has no grant.
+// Reserve is the part of each limit that is never granted but divided evenly among
+// the hosts, so that a host without a grant can admit requests.
 const Reserve = 0.2
 
-// Floor returns the share that a host may use without a grant.
+// Floor returns the share of a limit that a host may use without a grant.
 func Floor(hosts int) float64 { return Reserve / float64(max(hosts, 1)) }
 
-// Divider is the granting side: it moves shares to where the demand is without
-// ever granting more than the whole. It is a state machine without clock or
-// I/O, held by the host with the lease.
+// Divider grants shares of limits to hosts in proportion to their demand, in total
+// never more than the limit. It is a state machine without clock or I/O, run by
+// the host that holds the lease.
 type Divider struct {
-	life  time.Duration // life is how long a grant holds.
-	since time.Time     // since is when this divider began.
-	epoch uint64
-	table map[string]map[string]allotment // table is by workspace, then host.
+	ttl        time.Duration // ttl is the lifetime of a grant.
+	since      time.Time     // since is when this divider started.
+	epoch      uint64
+	allotments map[string]map[string]allotment // allotments is keyed by workspace, then host.
 }
 
+// allotment is the share of one workspace's limit that a host may be using.
 type allotment struct {
 	share float64
 	rate  float64
 	until time.Time
 }
 
-// NewDivider returns a divider that begins at now. In its first life it grants
-// no more than hosts say they hold, because grants of the divider before it may
-// still be out.
-func NewDivider(now time.Time, epoch uint64, life time.Duration) *Divider {
-	return &Divider{life: life, since: now, epoch: epoch, table: make(map[string]map[string]allotment)}
+// NewDivider returns a Divider that starts at now under the lease of the given
+// epoch; its grants are valid for ttl. Until ttl has passed it grants a host no more
+// than it already holds, as grants of the previous divider can still be valid.
+func NewDivider(now time.Time, epoch uint64, ttl time.Duration) *Divider {
+	return &Divider{ttl: ttl, since: now, epoch: epoch, allotments: make(map[string]map[string]allotment)}
 }
 
-// Epoch returns the epoch of the lease under which d grants.
+// Epoch returns the epoch of the lease under which d grants shares.
 func (d *Divider) Epoch() uint64 { return d.epoch }
 
-// Grant answers a host's demand.
+// Grant returns the shares granted to a host in reply to its demand.
 func (d *Divider) Grant(now time.Time, host string, dem Demand) Grants {
 	g := Grants{Sequence: dem.Sequence, Epoch: d.epoch}
 	for _, w := range dem.Workspaces {
@@ -79,10 +80,10 @@
 }
 
 func (d *Divider) grant(now time.Time, host string, w WorkspaceDemand) float64 {
-	hosts := d.table[w.Workspace]
+	hosts := d.allotments[w.Workspace]
 	if hosts == nil {
 		hosts = make(map[string]allotment)
-		d.table[w.Workspace] = hosts
+		d.allotments[w.Workspace] = hosts
 	}
 	var others, rates float64
 	for h, a := range hosts {
@@ -99,20 +100,19 @@
 	if rates+w.Rate > 0 {
 		target *= w.Rate / (rates + w.Rate)
 	}
-	if now.Sub(d.since) < d.life {
+	if now.Sub(d.since) < d.ttl {
 		target = min(target, w.Granted)
 	}
 	share := max(0, min(target, 1-Reserve-others))
-	// Until the host asks again it is not known whether it has got this answer;
-	// it may still use what it says it holds.
-	hosts[host] = allotment{share: max(share, w.Granted), rate: w.Rate, until: now.Add(d.life)}
+	// The reply can be lost, so the host may go on using the share it holds.
+	hosts[host] = allotment{share: max(share, w.Granted), rate: w.Rate, until: now.Add(d.ttl)}
 	return share
 }
 
-// Outstanding returns the sum of the shares of a workspace that may be in use.
+// Outstanding returns the sum of the unexpired shares of a workspace.
 func (d *Divider) Outstanding(now time.Time, workspace string) float64 {
 	var sum float64
-	for _, a := range d.table[workspace] {
+	for _, a := range d.allotments[workspace] {
 		if !now.After(a.until) {
 			sum += a.share
 		}
@@ -120,13 +120,13 @@
 	return sum
 }
 
-// Shares is the using side of one host. It is a state machine without clock or
-// I/O.
+// Shares tracks the shares granted to one host. It is a state machine without
+// clock or I/O.
 type Shares struct {
-	life     time.Duration
+	ttl      time.Duration
 	sequence uint64
-	taken    uint64 // taken is the newest demand that was answered.
-	asked    map[uint64]time.Time
+	latest   uint64               // latest is the sequence of the newest demand answered.
+	sentAt   map[uint64]time.Time // sentAt has the times of unanswered demands, by sequence.
 	grants   map[string]heldGrant
 	rates    map[string]float64
 }
@@ -136,36 +136,35 @@
 	until time.Time
 }
 
-// NewShares returns the using side with grants that hold as long as the
-// divider's.
-func NewShares(life time.Duration) *Shares {
-	return &Shares{life: life, asked: make(map[uint64]time.Time), grants: make(map[string]heldGrant), rates: make(map[string]float64)}
+// NewShares returns a Shares without grants. ttl must be that of the Divider.
+func NewShares(ttl time.Duration) *Shares {
+	return &Shares{ttl: ttl, sentAt: make(map[uint64]time.Time), grants: make(map[string]heldGrant), rates: make(map[string]float64)}
 }
 
-// rateGain is the weight of the newest reading in the mean rate.
-const rateGain = 0.5
+// rateSmoothing is the weight of the newest sample in the moving average of a rate.
+const rateSmoothing = 0.5
 
-// leastRate is the rate below which a workspace counts as idle at a host.
-const leastRate = 0.05
+// minRate, in requests per second, is the rate below which a workspace is idle.
+const minRate = 0.05
 
-// Demand returns what to ask for, from the usage since the last call.
+// Demand returns the next demand to send. usage is that of the last interval.
 func (s *Shares) Demand(now time.Time, usage []Usage, interval time.Duration) Demand {
 	for w := range s.rates {
-		s.rates[w] *= 1 - rateGain
+		s.rates[w] *= 1 - rateSmoothing
 	}
 	for _, u := range usage {
-		s.rates[u.Workspace] += rateGain * u.Requests / interval.Seconds()
+		s.rates[u.Workspace] += rateSmoothing * u.Requests / interval.Seconds()
 	}
 	s.sequence++
-	for q, at := range s.asked {
-		if now.Sub(at) > s.life {
-			delete(s.asked, q)
+	for q, at := range s.sentAt {
+		if now.Sub(at) > s.ttl {
+			delete(s.sentAt, q)
 		}
 	}
-	s.asked[s.sequence] = now
+	s.sentAt[s.sequence] = now
 	dem := Demand{Sequence: s.sequence}
 	for w, rate := range s.rates {
-		if rate < leastRate {
+		if rate < minRate {
 			delete(s.rates, w)
 			continue
 		}
@@ -175,21 +174,22 @@
 	return dem
 }
 
-// Take takes an answer. Grants count from the moment of their demand, so that
-// they end here before the divider gives them to somebody else.
+// Take applies a reply and returns the workspaces whose shares it sets. Grants are
+// valid from the time of their demand, so that they expire here before the divider
+// grants them to another host.
 func (s *Shares) Take(g Grants) []string {
-	at, ok := s.asked[g.Sequence]
+	at, ok := s.sentAt[g.Sequence]
 	if !ok {
 		return nil
 	}
-	delete(s.asked, g.Sequence)
-	if g.Sequence < s.taken {
-		return nil // a newer answer came first
+	delete(s.sentAt, g.Sequence)
+	if g.Sequence < s.latest {
+		return nil // a newer reply has been applied
 	}
-	s.taken = g.Sequence
+	s.latest = g.Sequence
 	var changed []string
 	for _, w := range g.Shares {
-		s.grants[w.Workspace] = heldGrant{share: w.Share, until: at.Add(s.life)}
+		s.grants[w.Workspace] = heldGrant{share: w.Share, until: at.Add(s.ttl)}
 		changed = append(changed, w.Workspace)
 	}
 	return changed
@@ -203,12 +203,12 @@
 	return g.share
 }
 
-// Share returns the part of a workspace's limit that this host may use now.
+// Share returns the share of a workspace's limit that this host may use at now.
 func (s *Shares) Share(now time.Time, workspace string, hosts int) float64 {
 	return Floor(hosts) + s.granted(now, workspace)
 }
 
-// Expired returns the workspaces whose grants have ended since the last call.
+// Expired removes expired grants and returns their workspaces.
 func (s *Shares) Expired(now time.Time) []string {
 	var out []string
 	for w, g := range s.grants {
@@ -220,11 +220,11 @@
 	return out
 }
 
-// Local returns the limit of one host for its share of a workspace's limit.
-func Local(whole Limit, share float64) Limit {
+// Local returns a host's share of a limit; Burst and Concurrency are at least 1.
+func Local(total Limit, share float64) Limit {
 	return Limit{
-		Rate:        whole.Rate * share,
-		Burst:       math.Max(1, whole.Burst*share),
-		Concurrency: math.Max(1, math.Ceil(whole.Concurrency*share)),
+		Rate:        total.Rate * share,
+		Burst:       math.Max(1, total.Burst*share),
+		Concurrency: math.Max(1, math.Ceil(total.Concurrency*share)),
 	}
 }
--- a/limiter/share_test.go
+++ b/limiter/share_test.go
@@ -12,38 +12,37 @@
 	"gotest.tools/v3/assert"
 )
 
-const testLife = 10 * time.Second
+const testTTL = 10 * time.Second
 
 var start = time.Date(2026, 3, 12, 8, 0, 0, 0, time.UTC)
 
-// TestSharesNeverExceedTheWhole drives hosts through lost messages, cuts and
-// changes of the dividing host, and checks at every step that what all hosts
-// may use together is at most the whole limit.
+// TestSharesNeverExceedTheWhole checks that the shares of all hosts never exceed the
+// limit, despite lost messages and changes of the granting host.
 func TestSharesNeverExceedTheWhole(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const hosts = 8
 		now := start
-		divider := NewDivider(now, 1, testLife)
+		divider := NewDivider(now, 1, testTTL)
 		shares := make([]*Shares, hosts)
 		for i := range shares {
-			shares[i] = NewShares(testLife)
+			shares[i] = NewShares(testTTL)
 		}
 		worst := 0.0
 		for step := range 400 {
 			now = now.Add(time.Duration(rng.IntN(1000)) * time.Millisecond)
-			if rng.IntN(60) == 0 { // another host divides from now on
-				divider = NewDivider(now, uint64(step+2), testLife)
+			if rng.IntN(60) == 0 { // another host takes over granting
+				divider = NewDivider(now, uint64(step+2), testTTL)
 			}
 			for i, s := range shares {
 				usage := []Usage{{Workspace: "w", Requests: float64(rng.IntN(50))}}
 				dem := s.Demand(now, usage, time.Second)
 				if rng.IntN(4) == 0 {
-					continue // lost on the way there
+					continue // the demand is lost
 				}
 				g := divider.Grant(now, fmt.Sprint(i), dem)
 				if rng.IntN(4) == 0 {
-					continue // lost on the way back
+					continue // the reply is lost
 				}
 				s.Take(g)
 			}
@@ -54,15 +53,15 @@
 			worst = max(worst, sum)
 			assert.Assert(t, sum <= 1+1e-9, "seed %d step %d: %g", seed, step, sum)
 		}
-		assert.Assert(t, worst > 0.9, "seed %d: shares are hardly used: %g", seed, worst)
+		assert.Assert(t, worst > 0.9, "seed %d: the shares never come close to the limit: %g", seed, worst)
 	}
 }
 
-// TestSharesFollowDemand moves a limit to the host that needs it.
+// TestSharesFollowDemand checks that the host with more demand gets the larger share.
 func TestSharesFollowDemand(t *testing.T) {
 	now := start
-	d := NewDivider(now.Add(-2*testLife), 1, testLife)
-	a, b := NewShares(testLife), NewShares(testLife)
+	d := NewDivider(now.Add(-2*testTTL), 1, testTTL)
+	a, b := NewShares(testTTL), NewShares(testTTL)
 	ask := func(s *Shares, host string, rate float64) {
 		s.Take(d.Grant(now, host, s.Demand(now, []Usage{{Workspace: "w", Requests: rate}}, time.Second)))
 	}
@@ -73,8 +72,8 @@
 	}
 	assert.Assert(t, a.Share(now, "w", 2) > 0.75, "%g", a.Share(now, "w", 2))
 	assert.Assert(t, b.Share(now, "w", 2) > 0.15, "%g", b.Share(now, "w", 2))
-	// Cut off, a host keeps its share while the grant lives and then the floor.
-	now = now.Add(testLife + time.Second)
+	// Without further grants a host falls back to the floor after the TTL.
+	now = now.Add(testTTL + time.Second)
 	assert.Equal(t, a.Share(now, "w", 2), Floor(2))
 }
 
@@ -101,8 +100,8 @@
 	assert.Assert(t, l.Admit(start, "w").Admitted)
 }
 
-// TestTokensMoveWithShares moves the whole share to and fro between two hosts
-// many times: no more than one burst for each host comes of it.
+// TestTokensMoveWithShares checks that moving a share between two hosts repeatedly
+// admits no more than one burst per host.
 func TestTokensMoveWithShares(t *testing.T) {
 	a, b := New(), New()
 	whole := Limit{Rate: 0, Burst: 20, Concurrency: 1000}
