--- a/dispatcher/attempts.go
+++ b/dispatcher/attempts.go
@@ -12,64 +12,65 @@
 // Verdict is how an attempt ended.
 type Verdict string
 
-// The verdicts.
+// Values of Verdict.
 const (
-	Done   Verdict = "Done"   // Done says that the caller has its final answer, or has gone.
-	NotRun Verdict = "NotRun" // NotRun says that the attempt did not run.
-	Maybe  Verdict = "Maybe"  // Maybe says that the attempt may have run, or ran, without an answer for the caller.
+	Done   Verdict = "Done"   // Done means that the caller has its final answer, or has left.
+	NotRun Verdict = "NotRun" // NotRun means that the attempt did not run.
+	// MayHaveRun means that the attempt ran or may have run, without an answer for the caller.
+	MayHaveRun Verdict = "Maybe"
 )
 
-// Result is the end of one attempt.
+// Result is the result of one attempt.
 type Result struct {
 	Verdict Verdict
-	Reached bool               // Reached tells that the upstream may have seen the request.
-	Failure *forwarder.Failure // Failure is nil if Verdict is Done, or if an answer is kept back instead.
+	Reached bool               // Reached reports whether the upstream may have received the request.
+	Failure *forwarder.Failure // Failure is nil if Verdict is Done or the upstream's answer is an error.
 }
 
-// Failed returns the result of an attempt that ended with a failure.
+// Failed returns the result of an attempt that failed.
 func Failed(f *forwarder.Failure) Result {
-	r := Result{Verdict: Maybe, Reached: f.Cause != forwarder.CauseConnect, Failure: f}
+	r := Result{Verdict: MayHaveRun, Reached: f.Cause != forwarder.CauseConnect, Failure: f}
 	if f.Ran == forwarder.RanNo {
 		r.Verdict = NotRun
 	}
 	return r
 }
 
-// Policy bounds the attempts of one request.
+// Policy limits the attempts of one request.
 type Policy struct {
-	Repeatable bool // Repeatable tells that the request may run more than once.
-	Runs       int  // Runs is the largest number of attempts that may have run; at least 1 is taken.
-	Attempts   int  // Attempts is the largest number of attempts of all kinds; at least 1 is taken.
+	Repeatable bool // Repeatable reports whether the request may run more than once.
+	Runs       int  // Runs limits the attempts that may have run; values below 1 mean 1.
+	Attempts   int  // Attempts limits all attempts; values below 1 mean 1.
 }
 
-// Way is what a protocol brings to the attempts. C is the choice of an upstream.
+// Way is the protocol-specific part of making attempts. C is the choice of an upstream.
 type Way[C any] interface {
-	// Choose picks an upstream that was not tried yet; false if there is none. It may
-	// wait for one, but not longer than ctx.
+	// Choose selects an upstream that has not been tried; false if there is none. It
+	// may wait for one until ctx is done.
 	Choose(ctx context.Context) (C, bool)
-	// Try makes one attempt there.
+	// Try makes one attempt at the chosen upstream.
 	Try(ctx context.Context, choice C) Result
-	// Continues tells whether another attempt can follow what the caller already
-	// has of an answer.
+	// Continues reports whether another attempt is possible after the part of an
+	// answer that the caller has received.
 	Continues() bool
-	// Withdraw asks the budget of retries for one more.
+	// Withdraw takes one retry from the retry budget and reports whether one was left.
 	Withdraw() bool
 }
 
-// Tries is what became of a request's attempts.
+// Tries is the result of all attempts of a request.
 type Tries struct {
 	Attempts int
-	Arrivals int    // Arrivals counts the upstreams that may have seen the request.
+	Arrivals int    // Arrivals counts the attempts that may have reached their upstream.
 	Runs     int    // Runs counts the attempts that may have run.
-	Last     Result // Last is the end of the last attempt.
+	Last     Result // Last is the result of the last attempt.
 }
 
-// Done tells that the caller has its final answer.
+// Done reports whether the caller has its final answer.
 func (t *Tries) Done() bool { return t.Last.Verdict == Done }
 
-// Run makes attempts until one gives the caller its final answer, or none may
-// follow. A request that is not repeatable is tried again only after an attempt
-// that did not run.
+// Run makes attempts until the caller has its final answer or no other attempt is
+// allowed. A request that is not repeatable is retried only after attempts that
+// did not run.
 func Run[C any](ctx context.Context, p Policy, w Way[C]) Tries {
 	var t Tries
 	for {
@@ -81,8 +82,8 @@
 		if t.Done() || !t.more(ctx, p) || !w.Continues() {
 			return t
 		}
-		// As long as nobody has seen the request, the next attempt is still its
-		// first and costs no upstream anything.
+		// While no upstream has received the request, another attempt adds no load
+		// and is not charged to the retry budget.
 		if t.Arrivals > 0 && !w.Withdraw() {
 			return t
 		}
@@ -100,7 +101,7 @@
 	}
 }
 
-// more tells whether the policy allows one more attempt.
+// more reports whether the policy allows another attempt.
 func (t *Tries) more(ctx context.Context, p Policy) bool {
 	switch {
 	case ctx.Err() != nil:
--- a/dispatcher/attempts_test.go
+++ b/dispatcher/attempts_test.go
@@ -16,7 +16,8 @@
 
 func init() { seeder.Fix() }
 
-// scripted answers attempts from a list of failures; "" is the final answer.
+// scripted ends attempts with the failures of a script; one without a Cause is the
+// final answer.
 type scripted struct {
 	script    []forwarder.Failure
 	sent      int
@@ -42,8 +43,8 @@
 	return Failed(&s.script[i])
 }
 
-// ends are all ends of an attempt.
-var ends = []forwarder.Failure{
+// failures has each way in which an attempt can end; the first is an answer.
+var failures = []forwarder.Failure{
 	{},
 	{Cause: forwarder.CauseConnect, Ran: forwarder.RanNo},
 	{Cause: forwarder.CauseRefused, Ran: forwarder.RanNo},
@@ -52,12 +53,12 @@
 	{Cause: forwarder.CauseCaller, Ran: forwarder.RanUnknown},
 }
 
-// TestRandomAttempts draws upstreams that fail in all ways and checks what may be
-// said and done.
+// TestRandomAttempts checks the policy's limits and the reported endings for random
+// sequences of failures.
 func TestRandomAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &scripted{
-			script: rapid.SliceOfN(rapid.SampledFrom(ends), 0, 6).Draw(t, "script"),
+			script: rapid.SliceOfN(rapid.SampledFrom(failures), 0, 6).Draw(t, "script"),
 			budget: rapid.IntRange(0, 3).Draw(t, "budget"),
 		}
 		p := Policy{
@@ -79,11 +80,11 @@
 		assert.Assert(t, s.sent <= max(p.Attempts, 1), "more attempts than allowed")
 		assert.Assert(t, runs <= max(p.Runs, 1), "more runs than allowed")
 		assert.Assert(t, p.Repeatable || runs <= 1, "a request that must run at most once may have run twice")
-		assert.Assert(t, arrivals <= s.withdrawn+1, "an upstream saw a repeat that no budget paid for")
+		assert.Assert(t, arrivals <= s.withdrawn+1, "a retry reached an upstream without a withdrawal from the budget")
 		if tries.Done() {
 			return
 		}
-		assert.Equal(t, tries.Ran() == forwarder.RanNo, runs == 0, "what is said of the run is not true")
+		assert.Equal(t, tries.Ran() == forwarder.RanNo, runs == 0, "Ran contradicts the attempts")
 		switch tries.Ending(context.Background()) {
 		case NoUpstream, Unreached, Refused:
 			assert.Equal(t, runs, 0)
@@ -92,12 +93,13 @@
 		case CallerGone:
 			assert.Equal(t, s.script[s.sent-1].Cause, forwarder.CauseCaller)
 		default:
-			t.Fatalf("ending without a reason")
+			t.Fatalf("unknown ending")
 		}
 	})
 }
 
-// TestEndingsByContext: who ended the wait goes before what upstreams said.
+// TestEndingsByContext checks that the context's end takes precedence over the
+// failures of attempts.
 func TestEndingsByContext(t *testing.T) {
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -107,7 +109,7 @@
 		ctx  context.Context
 		want Ending
 	}{{gone, CallerGone}, {late, Deadline}} {
-		tries := Run(c.ctx, Policy{Repeatable: true, Runs: 3, Attempts: 3}, &scripted{script: ends[3:4]})
+		tries := Run(c.ctx, Policy{Repeatable: true, Runs: 3, Attempts: 3}, &scripted{script: failures[3:4]})
 		assert.Equal(t, tries.Ending(c.ctx), c.want)
 		assert.Equal(t, tries.Ran(), forwarder.RanUnknown)
 	}
--- a/dispatcher/chain.go
+++ b/dispatcher/chain.go
@@ -5,13 +5,13 @@
 
 import "context"
 
-// Handler takes an exchange X to its outcome O.
+// Handler processes an exchange X and returns its outcome O.
 type Handler[X, O any] func(ctx context.Context, x X) O
 
-// Filter wraps a handler in one more step.
+// Filter wraps a handler with another processing step.
 type Filter[X, O any] func(next Handler[X, O]) Handler[X, O]
 
-// Chain returns last behind the filters, the first of them outermost.
+// Chain returns last wrapped in filters, of which the first is the outermost.
 func Chain[X, O any](last Handler[X, O], filters ...Filter[X, O]) Handler[X, O] {
 	for i := len(filters) - 1; i >= 0; i-- {
 		last = filters[i](last)
--- a/dispatcher/doc.go
+++ b/dispatcher/doc.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package dispatcher is the way of a request that all protocols share: filters
-// first, then attempts at upstreams until one answers or none may follow, then an
-// ending that says truthfully whether the request ran.
+// Package dispatcher implements the request processing common to all protocols:
+// a chain of filters, attempts at upstreams until one answers or no other attempt
+// is allowed, and an ending that says whether the request may have run.
 //
 // The packages that serve a protocol (server for the completions API, exchanger
-// for the users' platform) bring what differs: how an upstream is chosen, how an
-// attempt is sent, how an answer is passed on, and how an ending is put into words.
+// for the users' platform) choose upstreams, send attempts, forward answers and
+// report endings.
 //
 // # Usage
 //
--- a/dispatcher/ending.go
+++ b/dispatcher/ending.go
@@ -9,20 +9,20 @@
 	"amaranthgate.example/amaranthgate/forwarder"
 )
 
-// Ending says why a request got no answer of an upstream.
+// Ending says why a request got no answer from an upstream.
 type Ending string
 
-// The endings. Those that say "not run" hold for all attempts.
+// Values of Ending. After NoUpstream, Unreached and Refused no attempt has run.
 const (
-	CallerGone Ending = "CallerGone" // CallerGone says that the caller went away.
-	Deadline   Ending = "Deadline"   // Deadline says that the caller's or the operator's time is over.
-	NoUpstream Ending = "NoUpstream" // NoUpstream says that there was nowhere to send it: not run.
-	Unreached  Ending = "Unreached"  // Unreached says that no connection was made: not run.
-	Refused    Ending = "Refused"    // Refused says that the last upstream refused: not run.
-	Unknown    Ending = "Unknown"    // Unknown says that an attempt may have run.
+	CallerGone Ending = "CallerGone" // CallerGone means that the caller left.
+	Deadline   Ending = "Deadline"   // Deadline means that the deadline passed.
+	NoUpstream Ending = "NoUpstream" // NoUpstream means that no upstream was available.
+	Unreached  Ending = "Unreached"  // Unreached means that no connection was established at the last attempt.
+	Refused    Ending = "Refused"    // Refused means that the last upstream refused the request.
+	Unknown    Ending = "Unknown"    // Unknown means that an attempt may have run.
 )
 
-// Ending returns why a request got no answer; Done must be false.
+// Ending returns why the request got no answer; Done must be false.
 func (t *Tries) Ending(ctx context.Context) Ending {
 	var cause forwarder.Cause
 	if t.Last.Failure != nil {
@@ -43,7 +43,7 @@
 	return Refused
 }
 
-// Ran tells whether the request ran, all attempts together.
+// Ran reports whether any attempt ran or may have run.
 func (t *Tries) Ran() forwarder.Ran {
 	switch {
 	case t.Runs == 0:
--- a/exchanger/answer.go
+++ b/exchanger/answer.go
@@ -37,7 +37,7 @@
 	h := &held{answer: answer, body: body}
 	if answer.Status() >= http.StatusInternalServerError {
 		d.held = h
-		return dispatcher.Result{Verdict: dispatcher.Maybe, Reached: true}
+		return dispatcher.Result{Verdict: dispatcher.MayHaveRun, Reached: true}
 	}
 	d.passOn(h)
 	return dispatcher.Result{Verdict: dispatcher.Done, Reached: true}
--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -34,7 +34,7 @@
 
 // broke tells that the connection to an upstream broke off with the request under way.
 func broke(ctx context.Context, r dispatcher.Result) bool {
-	if r.Failure == nil || r.Verdict != dispatcher.Maybe || ctx.Err() != nil {
+	if r.Failure == nil || r.Verdict != dispatcher.MayHaveRun || ctx.Err() != nil {
 		return false
 	}
 	return r.Failure.Cause == forwarder.CauseLost || r.Failure.Cause == forwarder.CauseCut
@@ -75,7 +75,7 @@
 	if d.outcome.Reason == ReasonCallerGone {
 		return true
 	}
-	return r.Verdict == dispatcher.Maybe && r.Failure != nil && (ctx.Err() != nil || r.Failure.Cause == forwarder.CauseTimeout)
+	return r.Verdict == dispatcher.MayHaveRun && r.Failure != nil && (ctx.Err() != nil || r.Failure.Cause == forwarder.CauseTimeout)
 }
 
 // succeeded tells that the request was answered whole and well. A failure, though whole, does
