--- a/forwarder/doc.go
+++ b/forwarder/doc.go
@@ -1,15 +1,14 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package forwarder carries one attempt of a request to one upstream and its
-// answer back.
+// Package forwarder sends one attempt of a request to one upstream and returns its
+// answer.
 //
-// It is a plain net/http client with bounded connections for each upstream.
-// Every attempt has its own nonce. An answer that names another nonce is
-// dropped; a stream counts as whole only with its finish reason, a token count
-// that fits, and its end marker or at least a regular end of the body. A failure says whether the request can have
-// run: only when no connection was made, or when the upstream itself says so,
-// is the answer "no".
+// It has an HTTP/1.1 client with a limited pool of connections to each upstream.
+// Every attempt has its own nonce, and an answer with another nonce is rejected. A
+// stream is complete only with a finish reason, a matching token count, and its end
+// marker or the regular end of the body. A failure says whether the request may
+// have run: RanNo only if it was not sent or the upstream says so.
 //
 // # Usage
 //
@@ -18,8 +17,6 @@
 //	if fail != nil { ... fail.Ran ... }
 //	result := resp.Stream(sink)
 //
-// net/http by itself sends a request again on a new connection when an idle
-// one turns out to be closed, if the request has an Idempotency-Key header or
-// a safe method. A request that may run only once must not be sent twice, so
-// neither that header nor a replayable body is given to it.
+// Unlike http.Transport, which sends some requests again when an idle connection
+// turns out to be closed, Pool never sends a request twice.
 package forwarder
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -15,42 +15,42 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// Ran tells whether an attempt can have run at the upstream.
+// Ran says whether an attempt ran at the upstream.
 type Ran string
 
-// The values of Ran.
+// Values of Ran.
 const (
 	RanNo      Ran = "No"
 	RanUnknown Ran = "Unknown"
 	RanYes     Ran = "Yes"
 )
 
-// Cause tells why an attempt failed.
+// Cause says why an attempt failed.
 type Cause string
 
-// The causes.
+// Values of Cause.
 const (
-	CauseConnect   Cause = "Connect"   // CauseConnect says that no connection was made.
-	CauseLost      Cause = "Lost"      // CauseLost says that the connection broke before an answer.
-	CauseTimeout   Cause = "Timeout"   // CauseTimeout says that the answer did not come in time.
-	CauseRefused   Cause = "Refused"   // CauseRefused says that the upstream refused.
-	CauseCrossed   Cause = "Crossed"   // CauseCrossed says that the answer belongs to another attempt.
-	CauseCut       Cause = "Cut"       // CauseCut says that the answer ended too early.
-	CauseMalformed Cause = "Malformed" // CauseMalformed says that the answer cannot be read.
-	CauseCaller    Cause = "Caller"    // CauseCaller says that the caller went away.
+	CauseConnect   Cause = "Connect"   // CauseConnect means that no connection was available.
+	CauseLost      Cause = "Lost"      // CauseLost means that the connection broke before the answer.
+	CauseTimeout   Cause = "Timeout"   // CauseTimeout means that the answer did not arrive in time.
+	CauseRefused   Cause = "Refused"   // CauseRefused means that the upstream refused the request.
+	CauseCrossed   Cause = "Crossed"   // CauseCrossed means that the answer belongs to another attempt.
+	CauseCut       Cause = "Cut"       // CauseCut means that the answer is incomplete.
+	CauseMalformed Cause = "Malformed" // CauseMalformed means that the answer cannot be decoded.
+	CauseCaller    Cause = "Caller"    // CauseCaller means that the caller left.
 )
 
-// Failure is how an attempt failed.
+// Failure describes a failed attempt.
 type Failure struct {
 	Cause      Cause
 	Ran        Ran
 	Status     int           // Status is the upstream's status, if it answered.
-	RetryAfter time.Duration // RetryAfter is the upstream's advice, if any.
+	RetryAfter time.Duration // RetryAfter is from the upstream's Retry-After header; 0 if there is none.
 	Detail     string
-	NoListener bool // NoListener says that the upstream's address refuses connections: its process has ended.
+	NoListener bool // NoListener reports whether the upstream's address refused the connection.
 }
 
-// Attempt is one try to get a request answered.
+// Attempt is one attempt of a request.
 type Attempt struct {
 	Upstream   string
 	Address    string // Address is IP:port.
@@ -59,31 +59,31 @@
 	Header     http.Header
 	Body       []byte
 	Nonce      string
-	FirstToken time.Duration // FirstToken bounds the wait for the answer's headers.
-	Interval   time.Duration // Interval bounds the silence within an answer.
-	OnlyOnce   bool          // OnlyOnce forbids the transport to send the request again.
+	FirstToken time.Duration // FirstToken limits the wait for the answer's headers.
+	Interval   time.Duration // Interval limits the time between reads of an answer.
+	OnlyOnce   bool          // OnlyOnce marks a request that must run at most once; see Call.Once.
 }
 
-// Options set up a forwarder.
+// Options configure a Forwarder.
 type Options struct {
-	ConnsPerUpstream int           // ConnsPerUpstream bounds connections to one upstream; default 256.
-	DialTimeout      time.Duration // DialTimeout bounds a connect; default 1 s.
+	ConnsPerUpstream int           // ConnsPerUpstream limits connections to one upstream; default 256.
+	DialTimeout      time.Duration // DialTimeout defaults to 1 s.
 }
 
 // Forwarder sends attempts. It is safe for concurrent use.
 type Forwarder struct {
 	pool *Pool
 
-	Crossed atomic.Uint64 // Crossed counts answers that named another attempt.
+	Crossed atomic.Uint64 // Crossed counts answers with the nonce of another attempt.
 }
 
 const (
-	defaultConns = 256
-	defaultDial  = time.Second
-	maxHeader    = 64 << 10
+	defaultConns       = 256
+	defaultDialTimeout = time.Second
+	maxHeaderBytes     = 64 << 10
 )
 
-// New returns a forwarder without connections.
+// New returns a Forwarder without connections.
 func New(opts Options) *Forwarder {
 	if opts.ConnsPerUpstream == 0 {
 		opts.ConnsPerUpstream = defaultConns
@@ -91,11 +91,11 @@
 	return &Forwarder{pool: NewPool(PoolOptions{DialTimeout: opts.DialTimeout, ConnsPerUpstream: opts.ConnsPerUpstream})}
 }
 
-// Retain closes idle connections to addresses that keep does not want.
+// Retain closes idle connections to addresses for which keep returns false.
 func (f *Forwarder) Retain(keep func(address string) bool) { f.pool.Retain(keep) }
 
-// Open sends an attempt and waits for the head of its answer. Exactly one of
-// the results is not nil. The caller must close the response.
+// Open sends an attempt and waits for the header of its answer. Exactly one of the
+// results is not nil. The caller must close the Response.
 func (f *Forwarder) Open(ctx context.Context, a *Attempt) (*Response, *Failure) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	header := a.Header
@@ -103,56 +103,57 @@
 		header = make(http.Header)
 	}
 	header.Set(wire.HeaderNonce, a.Nonce)
-	watch := newWatch(a.FirstToken, cancel)
+	watchdog := newWatchdog(a.FirstToken, cancel)
 	reply, fail := f.pool.Do(ctx, &Call{
 		Address: a.Address, Method: a.Method, Target: a.Path, Host: a.Address, Header: header, Body: a.Body, Once: a.OnlyOnce,
 	})
 	if fail != nil {
-		watch.stop()
-		fail = silenced(ctx, fail) // before cancel, which ends ctx
+		watchdog.stop()
+		fail = asTimeout(ctx, fail) // before cancel, which ends ctx
 		cancel(nil)
 		return nil, fail
 	}
-	r := &Response{forwarder: f, attempt: a, ctx: ctx, cancel: cancel, watch: watch, reply: reply}
-	if fail := r.head(); fail != nil {
+	r := &Response{forwarder: f, attempt: a, ctx: ctx, cancel: cancel, watchdog: watchdog, reply: reply}
+	if fail := r.checkHeader(); fail != nil {
 		r.Close()
 		return nil, fail
 	}
 	return r, nil
 }
 
-// silenced tells a failure by the upstream's silence from one by the caller.
-func silenced(ctx context.Context, f *Failure) *Failure {
-	if _, silent := context.Cause(ctx).(errSilent); silent && f.Cause == CauseCaller {
+// asTimeout changes the cause from CauseCaller to CauseTimeout if a watchdog
+// canceled the attempt.
+func asTimeout(ctx context.Context, f *Failure) *Failure {
+	if _, stalled := context.Cause(ctx).(errStalled); stalled && f.Cause == CauseCaller {
 		f.Cause = CauseTimeout
 	}
 	return f
 }
 
-// errSilent is the cause by which a watch cancels an attempt.
-type errSilent struct{}
+// errStalled is the cause with which a watchdog cancels an attempt.
+type errStalled struct{}
 
-func (errSilent) Error() string { return "forwarder: upstream was silent for too long" }
+func (errStalled) Error() string { return "forwarder: upstream sent nothing within the timeout" }
 
-// watch cancels an attempt that makes no progress.
-type watch struct {
+// watchdog cancels an attempt unless it is reset in time.
+type watchdog struct {
 	timer *time.Timer
 }
 
-func newWatch(d time.Duration, cancel context.CancelCauseFunc) *watch {
-	return &watch{timer: time.AfterFunc(d, func() { cancel(errSilent{}) })}
+func newWatchdog(d time.Duration, cancel context.CancelCauseFunc) *watchdog {
+	return &watchdog{timer: time.AfterFunc(d, func() { cancel(errStalled{}) })}
 }
 
-func (w *watch) reset(d time.Duration) { w.timer.Reset(d) }
-func (w *watch) stop()                 { w.timer.Stop() }
+func (w *watchdog) reset(d time.Duration) { w.timer.Reset(d) }
+func (w *watchdog) stop()                 { w.timer.Stop() }
 
-// Response is the answer to an attempt whose head has arrived.
+// Response is the answer to an attempt, of which the body has not been read.
 type Response struct {
 	forwarder *Forwarder
 	attempt   *Attempt
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
-	watch     *watch
+	watchdog  *watchdog
 	reply     *Reply
 }
 
@@ -162,38 +163,38 @@
 // Header returns the header of the answer.
 func (r *Response) Header() http.Header { return r.reply.Header }
 
-// Version returns the weight version that answers.
+// Version returns the version of the model weights that the upstream used.
 func (r *Response) Version() string { return r.reply.Header.Get(wire.HeaderVersion) }
 
-// Close ends the attempt; the upstream is cancelled if it still runs.
+// Close ends the attempt and cancels it at the upstream if it is still running.
 func (r *Response) Close() {
-	r.watch.stop()
-	r.reply.Close() // before cancel, which would close a connection that can be kept
+	r.watchdog.stop()
+	r.reply.Close() // before cancel, which would close a reusable connection
 	r.cancel(nil)
 }
 
-// head checks whose answer it is and whether the upstream refused.
-func (r *Response) head() *Failure {
-	if said := r.reply.Header.Get(wire.HeaderRan); said == "no" {
-		return &Failure{Cause: CauseRefused, Ran: RanNo, Status: r.reply.Status, RetryAfter: retryAfter(r.reply.Header), Detail: r.text()}
+// checkHeader checks the nonce of the answer and whether the upstream refused.
+func (r *Response) checkHeader() *Failure {
+	if ran := r.reply.Header.Get(wire.HeaderRan); ran == "no" {
+		return &Failure{Cause: CauseRefused, Ran: RanNo, Status: r.reply.Status, RetryAfter: retryAfter(r.reply.Header), Detail: r.errorText()}
 	}
-	failed := r.reply.Status >= http.StatusBadRequest // a server in front of the upstream may know no nonces
+	failed := r.reply.Status >= http.StatusBadRequest // a proxy that does not set the nonce may have answered
 	if got := r.reply.Header.Get(wire.HeaderNonce); got != r.attempt.Nonce && (got != "" || !failed) {
 		r.forwarder.Crossed.Add(1)
 		return &Failure{Cause: CauseCrossed, Ran: RanUnknown, Status: r.reply.Status, Detail: "the answer names another attempt"}
 	}
 	if r.reply.Status >= http.StatusInternalServerError || r.reply.Status == http.StatusTooManyRequests {
-		return &Failure{Cause: CauseRefused, Ran: RanUnknown, Status: r.reply.Status, RetryAfter: retryAfter(r.reply.Header), Detail: r.text()}
+		return &Failure{Cause: CauseRefused, Ran: RanUnknown, Status: r.reply.Status, RetryAfter: retryAfter(r.reply.Header), Detail: r.errorText()}
 	}
-	r.watch.reset(r.attempt.Interval)
+	r.watchdog.reset(r.attempt.Interval)
 	return nil
 }
 
-// maxDetail bounds what is kept of an upstream's error text.
-const maxDetail = 256
+// maxDetailBytes limits the part of an upstream's error text that is kept.
+const maxDetailBytes = 256
 
-func (r *Response) text() string {
-	b, _ := io.ReadAll(io.LimitReader(r.reply, maxDetail))
+func (r *Response) errorText() string {
+	b, _ := io.ReadAll(io.LimitReader(r.reply, maxDetailBytes))
 	return string(bytes.TrimSpace(b))
 }
 
@@ -205,21 +206,21 @@
 	return time.Duration(s) * time.Second
 }
 
-// failure turns an error while reading the body into a failure.
-func (r *Response) failure(err error) *Failure {
+// readFailure returns the Failure for an error while reading the body.
+func (r *Response) readFailure(err error) *Failure {
 	f := &Failure{Cause: CauseCut, Ran: RanYes, Status: r.reply.Status, Detail: err.Error()}
 	if r.ctx.Err() == nil {
 		return f
 	}
 	f.Cause = CauseCaller
-	return silenced(r.ctx, f)
+	return asTimeout(r.ctx, f)
 }
 
-// Whole reads an answer that is not a stream, up to limit bytes.
+// Whole reads the whole body. It fails if that is larger than limit bytes.
 func (r *Response) Whole(limit int64) ([]byte, *Failure) {
 	body, err := io.ReadAll(io.LimitReader(r.reply, limit+1))
 	if err != nil {
-		return nil, r.failure(err)
+		return nil, r.readFailure(err)
 	}
 	if int64(len(body)) > limit {
 		return nil, &Failure{Cause: CauseMalformed, Ran: RanYes, Detail: "the answer is too large"}
--- a/forwarder/open_test.go
+++ b/forwarder/open_test.go
@@ -21,20 +21,20 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// openCase is a fault on the way to an upstream and what must be said of it.
+// openCase is a network or upstream fault and the failure that Open must report.
 type openCase struct {
 	Name    string
 	Fault   faultproxy.Fault
 	Status  int
-	SaysNo  bool // SaysNo lets the upstream say that it did not run the request.
+	SaysNo  bool // SaysNo makes the upstream report that it did not run the request.
 	NoNonce bool
-	Closed  bool              // Closed lets nobody listen.
-	Gone    duration.Duration // Gone is when the caller goes away.
+	Closed  bool              // Closed makes the address refuse connections.
+	Gone    duration.Duration // Gone is when the caller leaves; 0 if it stays.
 	Cause   Cause
 	Ran     Ran
 }
 
-// TestOpen is the contract of Open, with faults from a data file.
+// TestOpen checks the failures that Open reports for the faults of a data file.
 func TestOpen(t *testing.T) {
 	text, err := os.ReadFile("testdata/open.jsonc")
 	assert.NilError(t, err)
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestNotSentAgain breaks a kept connection after the request has arrived: what
-// may run only once is not sent a second time by the transport.
+// TestNotSentAgain checks that a request which must run at most once is not sent again
+// when a persistent connection breaks after it was received.
 func TestNotSentAgain(t *testing.T) {
 	var runs atomic.Int64
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/forwarder/pool.go
+++ b/forwarder/pool.go
@@ -24,119 +24,120 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// Bounds of pooled connections.
 const (
-	// defaultIdle is how long a connection is kept when the upstream names no
-	// timeout; short enough that most servers have not closed it yet.
-	defaultIdle = 4 * time.Second
-	// idleMargin is taken off the upstream's own timeout, so that a request does
-	// not cross the close: a round trip between regions and a late timer.
+	// defaultIdleTimeout applies if the upstream's answer names no timeout. It is
+	// shorter than the usual idle timeouts of servers.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the upstream's timeout, so that no request is
+	// sent while the upstream closes the connection.
 	idleMargin = 500 * time.Millisecond
-	// onceIdle is the longest rest after which a connection may carry a request
-	// that must not be repeated. A crossed close would leave it unknown whether it ran.
-	onceIdle = 500 * time.Millisecond
-	// foreignAnswers bounds how many answers to other requests are skipped on one
-	// connection before it is given up.
-	foreignAnswers = 2
-	// inlineBody is the largest body that is written before the answer is read.
-	// Larger ones are written beside it, since an upstream may answer early.
-	inlineBody = 16 << 10
-	readBuffer = 8 << 10
+	// maxOnceIdle limits the idle time of a connection for a request that must run at
+	// most once: if the upstream closes it meanwhile, it is unknown whether it ran.
+	maxOnceIdle = 500 * time.Millisecond
+	// maxForeignAnswers limits the answers to other requests that are skipped on one
+	// connection.
+	maxForeignAnswers = 2
+	// maxInlineBodyBytes is the largest body that is written before the answer is read.
+	// Larger ones are written concurrently, since an upstream may answer early.
+	maxInlineBodyBytes = 16 << 10
+	readBufferBytes    = 8 << 10
 )
 
-// PoolOptions set up a Pool. The zero value is ready to use.
+// PoolOptions configure a Pool. The zero value is ready to use.
 type PoolOptions struct {
-	DialTimeout      time.Duration // DialTimeout bounds a connect; default 1 s.
-	ConnsPerUpstream int           // ConnsPerUpstream bounds connections to addresses without a bound of their own; 0 does not.
+	DialTimeout      time.Duration // DialTimeout defaults to 1 s.
+	ConnsPerUpstream int           // ConnsPerUpstream limits connections to an address; 0 for no limit.
 }
 
-// Pool sends plain HTTP/1.1 requests over kept connections. Unlike
-// http.Transport it never sends a request twice by itself, skips answers that
-// belong to other requests, and says how much may have reached the upstream.
-// It is safe for concurrent use.
+// Pool sends HTTP/1.1 requests over a pool of persistent connections. Unlike
+// http.Transport it never sends a request twice, skips answers to other requests,
+// and reports whether a failed request may have run. It is safe for concurrent use.
 type Pool struct {
 	opts   PoolOptions
 	dialer *net.Dialer
 	timer  timer.System
-	asking singleflight.Group // asking has the questions whether an address refuses.
+	probes singleflight.Group // probes are by address.
 
-	mu   sync.Mutex
-	idle map[string][]*pooled
-	open map[string]int
-	most map[string]int // most has the bounds that calls have brought.
-	// hosts is the number of equal parts of a bound of which this host takes one.
-	hosts int
+	mu       sync.Mutex
+	idle     map[string][]*pooledConn
+	open     map[string]int
+	maxConns map[string]int // maxConns are the limits set by calls, by address.
+	hosts    int            // hosts is the number of hosts that divide each limit evenly.
 
-	Opened  atomic.Uint64 // Opened counts connections made.
-	Crossed atomic.Uint64 // Crossed counts answers that belonged to other requests.
+	Opened  atomic.Uint64 // Opened counts new connections.
+	Crossed atomic.Uint64 // Crossed counts answers to other requests.
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns a Pool without connections.
 func NewPool(opts PoolOptions) *Pool {
 	if opts.DialTimeout == 0 {
-		opts.DialTimeout = defaultDial
+		opts.DialTimeout = defaultDialTimeout
 	}
-	return &Pool{opts: opts, dialer: dialer.New(opts.DialTimeout), idle: make(map[string][]*pooled), open: make(map[string]int), most: make(map[string]int), hosts: 1}
+	return &Pool{opts: opts, dialer: dialer.New(opts.DialTimeout), idle: make(map[string][]*pooledConn), open: make(map[string]int), maxConns: make(map[string]int), hosts: 1}
 }
 
-// pooled is one connection; one request uses it at a time.
-type pooled struct {
-	conn     net.Conn
-	reader   *bufio.Reader
-	address  string
-	rested   time.Time     // rested is when it became idle.
-	lifetime time.Duration // lifetime is how long it may rest.
+// pooledConn is a connection used by one request at a time.
+type pooledConn struct {
+	conn        net.Conn
+	reader      *bufio.Reader
+	address     string
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
-// Call is one request as it goes over the wire.
+// Call is one request as it is sent.
 type Call struct {
 	Address string // Address is IP:port.
 	Method  string
-	Target  string // Target is the path with the query, sent as it is.
+	Target  string // Target is the escaped path with the query.
 	Host    string
 	Header  http.Header
 	Body    []byte
-	Most    int                      // Most is how many connections all hosts may have to the address; 0 if any. This host takes its part.
-	Once    bool                     // Once asks for a connection that has not rested for long.
-	Own     func(h http.Header) bool // Own tells whether an answer belongs to this call; nil accepts all.
+	// Most limits the connections of all hosts together to the address; if it is 0,
+	// PoolOptions.ConnsPerUpstream applies.
+	Most int
+	// Once marks a request that must run at most once. It is not sent on a connection
+	// that was idle for long.
+	Once bool
+	// Own reports whether an answer belongs to this call; nil accepts all answers.
+	Own func(h http.Header) bool
 }
 
-// Reply is an answer whose body has not been read yet.
+// Reply is an answer of which the body has not been read.
 type Reply struct {
 	Status int
 	Header http.Header
 	Length int64 // Length is the declared length of the body, or -1.
 
-	pool    *Pool
-	conn    *pooled
-	body    io.ReadCloser
-	stop    func() bool
-	written chan error // written tells the end of writing the body; nil if it was written first.
-	close   bool
-	whole   bool
-	ctx     context.Context
+	pool       *Pool
+	conn       *pooledConn
+	body       io.ReadCloser
+	stop       func() bool
+	written    chan error // written receives the result of writing a large request body; otherwise nil.
+	closeAfter bool       // closeAfter means that the connection cannot be reused.
+	complete   bool       // complete means that the body was read to its end.
+	ctx        context.Context
 }
 
-// Divide tells of how many equal parts of each bound this host may take one. Bounds come with calls:
-// those of 10,000 addresses need not be set again for each host that comes or goes.
+// Divide sets the number of hosts that divide the connection limits evenly.
 func (p *Pool) Divide(hosts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = max(1, hosts)
 }
 
-// Forget closes idle connections to an address.
+// Forget closes idle connections to an address and removes its limit.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[address] {
-		p.drop(c)
+		p.closeLocked(c)
 	}
 	delete(p.idle, address)
-	delete(p.most, address)
+	delete(p.maxConns, address)
 }
 
-// Retain closes idle connections to addresses that keep does not want.
+// Retain closes idle connections to addresses for which keep returns false.
 func (p *Pool) Retain(keep func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,15 +146,15 @@
 			continue
 		}
 		for _, c := range list {
-			p.drop(c)
+			p.closeLocked(c)
 		}
 		delete(p.idle, address)
-		delete(p.most, address)
+		delete(p.maxConns, address)
 	}
 }
 
-// drop closes a connection; p.mu is held.
-func (p *Pool) drop(c *pooled) {
+// closeLocked closes a connection and removes it from the count; p.mu must be held.
+func (p *Pool) closeLocked(c *pooledConn) {
 	_ = c.conn.Close()
 	p.open[c.address]--
 	if p.open[c.address] <= 0 {
@@ -161,15 +162,15 @@
 	}
 }
 
-func (p *Pool) discard(c *pooled) {
+func (p *Pool) discard(c *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(c)
+	p.closeLocked(c)
 }
 
-// Do sends a call and returns the head of its answer. A Failure says whether
-// the upstream may have run the request. When ctx ends, the connection is closed
-// and the upstream sees that.
+// Do sends a call and returns the status and header of its answer. A Failure says
+// whether the upstream may have run the request. When ctx is done the connection is
+// closed, also while the body is read.
 func (p *Pool) Do(ctx context.Context, call *Call) (*Reply, *Failure) {
 	c, fail := p.acquire(ctx, call)
 	if fail != nil {
@@ -196,11 +197,11 @@
 	return nil, fail
 }
 
-func (p *Pool) acquire(ctx context.Context, call *Call) (*pooled, *Failure) {
-	if c := p.take(call); c != nil {
+func (p *Pool) acquire(ctx context.Context, call *Call) (*pooledConn, *Failure) {
+	if c := p.takeIdle(call); c != nil {
 		return c, nil
 	}
-	if !p.bound(call.Address, call.Most) {
+	if !p.reserveWithin(call.Address, call.Most) {
 		return nil, &Failure{Cause: CauseConnect, Ran: RanNo, Detail: "all connections to the upstream are in use"}
 	}
 	conn, err := p.dialer.DialContext(ctx, "tcp4", call.Address)
@@ -215,34 +216,34 @@
 		return nil, &Failure{Cause: cause, Ran: RanNo, Detail: err.Error(), NoListener: errors.Is(err, syscall.ECONNREFUSED)}
 	}
 	p.Opened.Add(1)
-	return newPooled(conn, call.Address), nil
+	return newPooledConn(conn, call.Address), nil
 }
 
-func newPooled(conn net.Conn, address string) *pooled {
-	return &pooled{conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), address: address, lifetime: defaultIdle}
+func newPooledConn(conn net.Conn, address string) *pooledConn {
+	return &pooledConn{conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes), address: address, idleTimeout: defaultIdleTimeout}
 }
 
-// reserve counts one more connection to an address, in place of an idle one if
-// there may be no more.
+// reserve counts a new connection to an address, and closes an idle one if the limit
+// is reached. It returns false if there is none to close.
 func (p *Pool) reserve(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reserved(address)
+	return p.reserveLocked(address)
 }
 
-// bound is reserve with the bound that a call brings.
-func (p *Pool) bound(address string, most int) bool {
+// reserveWithin sets the limit of an address and calls reserve.
+func (p *Pool) reserveWithin(address string, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most[address] = most
-	return p.reserved(address)
+	p.maxConns[address] = limit
+	return p.reserveLocked(address)
 }
 
-// reserved is reserve while p.mu is held.
-func (p *Pool) reserved(address string) bool {
+// reserveLocked is reserve; p.mu must be held.
+func (p *Pool) reserveLocked(address string) bool {
 	limit := p.opts.ConnsPerUpstream
-	if most := p.most[address]; most > 0 {
-		limit = max(1, most/p.hosts)
+	if total := p.maxConns[address]; total > 0 {
+		limit = max(1, total/p.hosts)
 	}
 	if limit > 0 && p.open[address] >= limit {
 		list := p.idle[address]
@@ -250,37 +251,36 @@
 			return false
 		}
 		p.idle[address] = list[1:]
-		p.drop(list[0])
+		p.closeLocked(list[0])
 	}
 	p.open[address]++
 	return true
 }
 
-// take returns the connection that rested last, if one is still good.
-func (p *Pool) take(call *Call) *pooled {
+// takeIdle returns the most recently used idle connection that can be reused, or nil.
+func (p *Pool) takeIdle(call *Call) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.timer.Now()
 	list := p.idle[call.Address]
 	for len(list) > 0 {
 		c := list[len(list)-1]
-		rest := now.Sub(c.rested)
-		if call.Once && rest > onceIdle && rest < c.lifetime {
+		idle := now.Sub(c.idleSince)
+		if call.Once && idle > maxOnceIdle && idle < c.idleTimeout {
 			return nil
 		}
 		list = list[:len(list)-1]
 		p.idle[call.Address] = list
-		if rest < c.lifetime && quiet(c) {
+		if idle < c.idleTimeout && isQuiet(c) {
 			return c
 		}
-		p.drop(c)
+		p.closeLocked(c)
 	}
 	return nil
 }
 
-// quiet reports that nothing has arrived on an idle connection: neither its
-// close nor bytes that belong to no request.
-func quiet(c *pooled) bool {
+// isQuiet reports whether an idle connection is open and has no unread data.
+func isQuiet(c *pooledConn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -292,17 +292,17 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = e == syscall.EAGAIN || e == syscall.EWOULDBLOCK
+		empty = e == syscall.EAGAIN || e == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
 
-// send writes the request and returns how many bytes were handed to the kernel.
+// send writes the request and returns the number of bytes passed to the kernel.
 func (r *Reply) send(call *Call) (int, error) {
 	var head bytes.Buffer
 	head.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
@@ -313,7 +313,7 @@
 		return 0, err
 	}
 	head.WriteString("\r\n")
-	if len(call.Body) <= inlineBody {
+	if len(call.Body) <= maxInlineBodyBytes {
 		head.Write(call.Body)
 		return r.conn.conn.Write(head.Bytes())
 	}
@@ -329,18 +329,18 @@
 	return n, nil
 }
 
-var errForeign = errors.New("forwarder: only answers to other requests came")
+var errForeign = errors.New("forwarder: received only answers to other requests")
 
-// receive reads heads until one belongs to the call.
+// receive reads status lines and headers until an answer belongs to the call.
 func (r *Reply) receive(call *Call) error {
-	for range foreignAnswers + 1 {
-		resp, err := r.head(call)
+	for range maxForeignAnswers + 1 {
+		resp, err := r.readHeader(call)
 		if err != nil {
 			return err
 		}
 		if call.Own == nil || call.Own(resp.Header) {
 			r.Status, r.Header, r.Length = resp.StatusCode, resp.Header, resp.ContentLength
-			r.body, r.close = resp.Body, resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+			r.body, r.closeAfter = resp.Body, resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 			return nil
 		}
 		r.pool.Crossed.Add(1)
@@ -354,8 +354,8 @@
 	return errForeign
 }
 
-// head reads one head, past interim answers.
-func (r *Reply) head(call *Call) (*http.Response, error) {
+// readHeader reads the status line and header of the next final answer.
+func (r *Reply) readHeader(call *Call) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(r.conn.reader, &http.Request{Method: call.Method})
 		if err != nil {
@@ -367,29 +367,30 @@
 	}
 }
 
-// Read reads the body. io.EOF comes only after the whole body.
+// Read reads the body. It returns io.EOF only after the complete body.
 func (r *Reply) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Unframed tells that the body ends with its connection.
-func (r *Reply) Unframed() bool { return r.Length < 0 && r.close }
+// Unframed reports whether the end of the body is marked only by the connection's
+// close.
+func (r *Reply) Unframed() bool { return r.Length < 0 && r.closeAfter }
 
-// Close ends the call. The connection is kept if the answer was read to its end
-// and the upstream will read the next request there.
+// Close ends the call. The connection is kept if the answer was read completely and
+// the upstream can read another request from it.
 func (r *Reply) Close() {
-	live := r.stop()
-	if !live || !r.whole || r.close || !r.bodySent() {
+	open := r.stop()
+	if !open || !r.complete || r.closeAfter || !r.bodySent() {
 		r.pool.discard(r.conn)
 		return
 	}
-	r.conn.lifetime = lifetime(r.Header)
-	r.conn.rested = r.pool.timer.Now() // upstreams close idle connections also while this machine is suspended
-	if r.conn.lifetime <= 0 {
+	r.conn.idleTimeout = keepAliveTimeout(r.Header)
+	r.conn.idleSince = r.pool.timer.Now() // counts suspended time, in which upstreams close connections
+	if r.conn.idleTimeout <= 0 {
 		r.pool.discard(r.conn)
 		return
 	}
@@ -398,7 +399,7 @@
 	r.pool.idle[r.conn.address] = append(r.pool.idle[r.conn.address], r.conn)
 }
 
-// bodySent reports that the request's body has been written whole.
+// bodySent reports whether the request's body has been written completely.
 func (r *Reply) bodySent() bool {
 	if r.written == nil {
 		return true
@@ -411,8 +412,9 @@
 	}
 }
 
-// lifetime reads how long a connection may rest from the upstream's advice.
-func lifetime(h http.Header) time.Duration {
+// keepAliveTimeout returns how long a connection may be idle, from the upstream's
+// Keep-Alive header.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
@@ -420,5 +422,5 @@
 			return time.Duration(seconds)*time.Second - idleMargin
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/forwarder/pool_test.go
+++ b/forwarder/pool_test.go
@@ -24,9 +24,9 @@
 
 type poolAnswer struct {
 	Text  string // Text is an answer with | for line ends.
-	Raw   string // Raw is written before Text as it is.
-	Late  string // Late is written before Text, in the form of Text.
-	Extra string // Extra is written after Text, in the form of Text.
+	Raw   string // Raw is written before Text unchanged.
+	Late  string // Late is an answer written before Text.
+	Extra string // Extra is an answer written after Text.
 	After string
 }
 
@@ -45,12 +45,12 @@
 	Connections int
 }
 
-// poolServer answers as a case says and counts connections.
+// poolServer sends the answers of a case on each connection and counts connections.
 type poolServer struct {
 	listener net.Listener
 	answers  []poolAnswer
 	count    atomic.Int32
-	written  atomic.Int32 // written counts answers with all that follows them.
+	written  atomic.Int32 // written counts answers that were written with their Extra.
 }
 
 func newPoolServer(t *testing.T, answers []poolAnswer) *poolServer {
@@ -80,14 +80,14 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		form := func(text string) string {
+		format := func(text string) string {
 			if text == "" {
 				return ""
 			}
 			text = strings.ReplaceAll("HTTP/1.1 "+text, "|", "\r\n")
 			return strings.ReplaceAll(text, "{id}", req.Header.Get("X-Id"))
 		}
-		_, _ = io.WriteString(c, a.Raw+form(a.Late)+form(a.Text)+form(a.Extra))
+		_, _ = io.WriteString(c, a.Raw+format(a.Late)+format(a.Text)+format(a.Extra))
 		if a.After == "reset" {
 			_ = c.SetLinger(0)
 		}
@@ -98,7 +98,7 @@
 		}
 		s.written.Add(1)
 	}
-	_, _ = io.Copy(io.Discard, r) // the connection stays open
+	_, _ = io.Copy(io.Discard, r) // keeps the connection open
 }
 
 func TestPool(t *testing.T) {
@@ -140,7 +140,7 @@
 	if want.Body != "" {
 		assert.Equal(t, string(body), want.Body)
 	}
-	// What follows the answer must be there before the connection is used again.
+	// Wait for Extra to be written before the connection is reused.
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if s.written.Load() > answered {
 			return poll.Success()
@@ -150,8 +150,8 @@
 	reply.Close()
 }
 
-// TestPoolNotConnected: a connection that was never made is a request that did
-// not run.
+// TestPoolNotConnected checks that a request without a connection is reported as not
+// run.
 func TestPoolNotConnected(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -162,8 +162,8 @@
 	assert.Equal(t, fail.Ran, RanNo)
 }
 
-// TestPoolCap: beyond its bound a pool makes no connection, and says that the
-// request did not run; an idle connection makes room.
+// TestPoolCap checks that a pool at its connection limit reports a request as not run,
+// and reuses an idle connection.
 func TestPoolCap(t *testing.T) {
 	s := newPoolServer(t, []poolAnswer{{Text: "200 OK|Content-Length: 0||"}, {Text: "200 OK|Content-Length: 0||"}})
 	p := NewPool(PoolOptions{})
@@ -183,8 +183,8 @@
 	assert.Equal(t, int(s.count.Load()), 1)
 }
 
-// TestPoolEarlyAnswer: an upstream answers before it has read a long body and
-// reads on later. The rest of the body is what it gets, never another request.
+// TestPoolEarlyAnswer checks that no request is sent within the unsent body of another
+// one that the upstream answered early.
 func TestPoolEarlyAnswer(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -221,7 +221,7 @@
 	assert.NilError(t, err)
 	reply.Close()
 	if n := <-got; n != len(body) {
-		// The body was given up with its connection, which is closed then.
+		// The body was aborted, so the connection must not be reused.
 		assert.Equal(t, len(p.idle[call.Address]), 0)
 	}
 }
--- a/forwarder/reach.go
+++ b/forwarder/reach.go
@@ -12,49 +12,50 @@
 	"github.com/pkg/errors"
 )
 
-// refusalTimeout bounds the question whether an address refuses connections. A process that
-// has ended refuses within a round trip; one whose host is dark says nothing.
-const refusalTimeout = 300 * time.Millisecond
+// probeTimeout limits a probe of whether an address refuses connections. A live host
+// refuses within a round trip; one that is down does not reply.
+const probeTimeout = 300 * time.Millisecond
 
-// Refuses tells that nobody listens at an address any more: a process that was there has
-// ended. A connection that stands is kept for the next call. All that broke off there ask at
-// once, up to 29 requests of a host, and one connection answers them.
+// Refuses connects to an address and reports whether it refuses connections: no
+// process is listening there. Concurrent calls share one connection, which is kept
+// for the next request if it is established.
 func (p *Pool) Refuses(address string) bool {
-	answer, _, _ := p.asking.Do(address, func() (any, error) { return p.refuses(address), nil })
-	return answer == true
+	refused, _, _ := p.probes.Do(address, func() (any, error) { return p.probe(address), nil })
+	return refused == true
 }
 
-// Gone is Refuses for a process that may have ended a while ago: its end has closed the
-// connections to it, so that one which stands says that it lives.
-func (p *Pool) Gone(address string) bool { return !p.stands(address) && p.Refuses(address) }
+// Gone is like Refuses, but takes an open idle connection as proof that the process
+// is running. Its end must be long enough ago for its connections to be closed.
+func (p *Pool) Gone(address string) bool { return !p.hasOpenIdle(address) && p.Refuses(address) }
 
-// stands tells that a kept connection to an address is open.
-func (p *Pool) stands(address string) bool {
+// hasOpenIdle reports whether an idle connection to an address is still open.
+func (p *Pool) hasOpenIdle(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.idle[address], quiet)
+	return slices.ContainsFunc(p.idle[address], isQuiet)
 }
 
-func (p *Pool) refuses(address string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), refusalTimeout)
+// probe connects to an address and reports whether that was refused.
+func (p *Pool) probe(address string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	conn, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
 	p.Opened.Add(1)
-	p.adopt(newPooled(conn, address))
+	p.putIdle(newPooledConn(conn, address))
 	return false
 }
 
-// adopt keeps a connection that no call has used yet, if the address may have one more.
-func (p *Pool) adopt(c *pooled) {
+// putIdle adds a new connection to the pool, or closes it if the limit is reached.
+func (p *Pool) putIdle(c *pooledConn) {
 	if !p.reserve(c.address) {
 		_ = c.conn.Close()
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.rested = p.timer.Now()
+	c.idleSince = p.timer.Now()
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
--- a/forwarder/reach_test.go
+++ b/forwarder/reach_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/poll"
 )
 
-// TestRefuses: a process that has ended refuses; one that is there is asked once, and the
-// connection serves the next call.
+// TestRefuses checks that a closed address refuses, and that the connection of a probe
+// is reused by the next call.
 func TestRefuses(t *testing.T) {
 	p := NewPool(PoolOptions{})
 	s := newPoolServer(t, []poolAnswer{{Text: "200 OK|Content-Length: 0||"}})
@@ -24,21 +24,21 @@
 	reply.Close()
 	assert.Equal(t, int(s.count.Load()), 1)
 
-	gone, err := net.Listen("tcp4", "127.0.0.1:0")
+	closed, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
-	address = gone.Addr().String()
-	assert.NilError(t, gone.Close())
+	address = closed.Addr().String()
+	assert.NilError(t, closed.Close())
 	assert.Assert(t, p.Refuses(address))
 }
 
-// TestGone: a connection that stands says that a process lives, without a new one; when it is
-// closed, the address is asked.
+// TestGone checks that an open idle connection makes a probe unnecessary, and that the
+// address is probed once the connection is closed.
 func TestGone(t *testing.T) {
 	p := NewPool(PoolOptions{})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
-	assert.Assert(t, !p.Gone(address)) // opens one
+	assert.Assert(t, !p.Gone(address)) // opens a connection
 	assert.Assert(t, !p.Gone(address))
 	assert.Equal(t, p.Opened.Load(), uint64(1))
 	conn, err := l.Accept()
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -14,46 +14,46 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes limits one event of a stream.
 const maxEventBytes = 1 << 20
 
 // endMarker is the data of the event that ends a stream.
 const endMarker = "[DONE]"
 
-// Event is one event of an answer.
+// Event is one event of a stream.
 type Event struct {
 	Data  string
-	Text  string // Text is the text that the event adds, still escaped as JSON.
+	Text  string // Text is the text that the event adds, escaped as in a JSON string.
 	Usage *wire.Usage
-	Last  bool // Last tells that the event gives a finish reason.
+	Last  bool // Last reports whether the event has a finish reason.
 }
 
-// Sink takes the events of a stream in order. An error ends the stream: the
-// caller is gone.
+// Sink receives the events of a stream in order. An error means that the caller
+// left, and ends the stream.
 type Sink interface {
-	// Event takes one event, which may be held back until Flush.
+	// Event receives one event, which may be buffered until Flush.
 	Event(e Event) error
-	// Flush passes on what is held back. It is called before each wait for the
-	// upstream, so that events that came together leave together.
+	// Flush sends the buffered events. It is called before each read from the
+	// upstream, so that events which arrived together are sent together.
 	Flush() error
 }
 
-// Stream passes the events of an answer on as they come. It returns nil if the
-// stream was whole.
+// Stream sends the events of an answer to sink as they arrive. It returns nil if
+// the stream is complete.
 func (r *Response) Stream(sink Sink) *Failure {
 	s := streamState{nonce: r.attempt.Nonce}
 	body := &watchedBody{body: r.reply, response: r, sink: sink}
 	for ev, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
-		if gone := (errSink{}); errors.As(err, &gone) {
-			return &Failure{Cause: CauseCaller, Ran: RanYes, Detail: gone.Error()}
+		if sinkErr := (errSink{}); errors.As(err, &sinkErr) {
+			return &Failure{Cause: CauseCaller, Ran: RanYes, Detail: sinkErr.Error()}
 		}
 		if err != nil {
-			return r.failure(err)
+			return r.readFailure(err)
 		}
 		if ev.Data == endMarker {
-			return s.end()
+			return s.check()
 		}
-		e, fail := s.next(ev.Data)
+		e, fail := s.add(ev.Data)
 		if fail != nil {
 			if fail.Cause == CauseCrossed {
 				r.forwarder.Crossed.Add(1)
@@ -64,19 +64,18 @@
 			return &Failure{Cause: CauseCaller, Ran: RanYes, Detail: err.Error()}
 		}
 	}
-	// The body ended as HTTP says it must, but without the marker. The finish
-	// reason and the count prove as much as the marker does.
-	if fail := s.end(); fail != nil {
-		return r.failure(io.ErrUnexpectedEOF)
+	// The body ended without the end marker. The finish reason and the token count
+	// are enough to show that the stream is complete.
+	if fail := s.check(); fail != nil {
+		return r.readFailure(io.ErrUnexpectedEOF)
 	}
 	return nil
 }
 
-// errSink says that the caller is gone.
+// errSink is an error of the sink.
 type errSink struct{ error }
 
-// watchedBody restarts the silence timer with each read, and flushes the sink
-// before it.
+// watchedBody flushes the sink before each read and resets the watchdog after it.
 type watchedBody struct {
 	body     io.Reader
 	response *Response
@@ -89,20 +88,21 @@
 	}
 	n, err := w.body.Read(p)
 	if n > 0 {
-		w.response.watch.reset(w.response.attempt.Interval)
+		w.response.watchdog.reset(w.response.attempt.Interval)
 	}
 	return n, err
 }
 
-// streamState is what must be known to tell whether a stream is whole.
+// streamState has what is needed to check that a stream is complete.
 type streamState struct {
-	nonce  string
-	chunks int // chunks is the number of events that added text.
-	last   bool
-	usage  *wire.Usage
+	nonce    string
+	chunks   int  // chunks is the number of events that added text.
+	finished bool // finished reports whether a finish reason was received.
+	usage    *wire.Usage
 }
 
-func (s *streamState) next(data string) (Event, *Failure) {
+// add decodes an event and updates the state.
+func (s *streamState) add(data string) (Event, *Failure) {
 	e, ok := scanEvent(data, s.nonce)
 	if !ok {
 		var fail *Failure
@@ -113,17 +113,17 @@
 	if e.Text != "" {
 		s.chunks++
 	}
-	s.last = s.last || e.Last
+	s.finished = s.finished || e.Last
 	if e.Usage != nil {
 		s.usage = e.Usage
 	}
 	return e, nil
 }
 
-// end tells whether a stream whose marker came is whole.
-func (s *streamState) end() *Failure {
+// check returns a Failure unless the stream is complete.
+func (s *streamState) check() *Failure {
 	switch {
-	case !s.last:
+	case !s.finished:
 		return &Failure{Cause: CauseCut, Ran: RanYes, Detail: "the stream has no finish reason"}
 	case s.usage == nil:
 		return &Failure{Cause: CauseCut, Ran: RanYes, Detail: "the stream has no token count"}
@@ -133,16 +133,16 @@
 	return nil
 }
 
-// scanEvent reads the usual form of an event that only adds text, without a
-// full parse. It reports false for anything else.
+// scanEvent decodes the usual form of an event that only adds text, without parsing
+// all of its JSON. It returns false for any other event.
 func scanEvent(data, nonce string) (Event, bool) {
 	const head = `{"id":"`
 	if !strings.HasPrefix(data, head) || !strings.HasPrefix(data[len(head):], nonce) {
 		return Event{}, false
 	}
-	text, rest, ok := between(data, `"text":"`)
+	text, rest, ok := stringAfter(data, `"text":"`)
 	if !ok {
-		text, rest, ok = between(data, `"content":"`)
+		text, rest, ok = stringAfter(data, `"content":"`)
 	}
 	if !ok || strings.Contains(rest, `"text":"`) || strings.Contains(rest, `"content":"`) {
 		return Event{}, false
@@ -153,14 +153,14 @@
 	return Event{Data: data, Text: text}, true
 }
 
-// between returns the inside of the JSON string that begins after a mark, and
-// what follows it.
-func between(data, mark string) (inside, after string, ok bool) {
-	i := strings.Index(data, mark)
+// stringAfter returns the contents of the JSON string that begins after prefix, and
+// the data that follows it.
+func stringAfter(data, prefix string) (contents, after string, ok bool) {
+	i := strings.Index(data, prefix)
 	if i < 0 {
 		return "", "", false
 	}
-	rest := data[i+len(mark):]
+	rest := data[i+len(prefix):]
 	for j := 0; j < len(rest); j++ {
 		switch rest[j] {
 		case '\\':
@@ -192,7 +192,7 @@
 	return e, nil
 }
 
-// EscapeText returns text as it stands inside a JSON string.
+// EscapeText returns text escaped as in a JSON string, without the quotes.
 func EscapeText(text string) string {
 	if text == "" {
 		return ""
@@ -204,7 +204,7 @@
 	return string(b[1 : len(b)-1])
 }
 
-// UnescapeText turns the text of events into plain text.
+// UnescapeText reverses EscapeText. It returns false if escaped is not valid.
 func UnescapeText(escaped string) (string, bool) {
 	var s string
 	err := json.Unmarshal([]byte(`"`+escaped+`"`), &s)
--- a/forwarder/stream_test.go
+++ b/forwarder/stream_test.go
@@ -21,11 +21,11 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// streamCase is a stream as an upstream sends it and what is made of it.
+// streamCase is a stream sent by an upstream and the expected result of reading it.
 type streamCase struct {
 	Name  string
 	Lines []string
-	Cut   bool // Cut ends the body without its regular end.
+	Cut   bool // Cut aborts the body.
 	Cause Cause
 	Text  string
 }
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	for _, c := range file.Cases {
 		t.Run(c.Name, func(t *testing.T) {
-			got, fail := relay(t, c)
+			got, fail := readStream(t, c)
 			cause := Cause("")
 			if fail != nil {
 				cause = fail.Cause
@@ -49,7 +49,7 @@
 	}
 }
 
-// textSink keeps the text of a stream.
+// textSink collects the text of a stream.
 type textSink struct{ text strings.Builder }
 
 func (s *textSink) Event(e Event) error {
@@ -63,8 +63,8 @@
 
 func (s *textSink) Flush() error { return nil }
 
-// relay lets an upstream send the lines of a case and reads them.
-func relay(t *testing.T, c streamCase) (string, *Failure) {
+// readStream reads the stream of a case from a test server.
+func readStream(t *testing.T, c streamCase) (string, *Failure) {
 	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(wire.HeaderNonce, r.Header.Get(wire.HeaderNonce))
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -88,8 +88,7 @@
 	return sink.text.String(), fail
 }
 
-// TestScanAgreesWithParse checks the fast reading of events against the full
-// one.
+// TestScanAgreesWithParse checks scanEvent against parseEvent.
 func TestScanAgreesWithParse(t *testing.T) {
 	for _, text := range []string{"a", `quo"te`, `back\slash`, "new\nline", "ünïcode", `","text":"x`, `finish_reason":null`} {
 		c := wire.Chunk{ID: "N-01", Object: "text_completion", Choices: []wire.Choice{{Text: text}}}
@@ -106,13 +105,13 @@
 	}
 }
 
-// endless is a body of many events.
-type endless struct {
+// repeatedEvent is a body that repeats one event.
+type repeatedEvent struct {
 	event []byte
 	left  int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *repeatedEvent) Read(p []byte) (int, error) {
 	if e.left == 0 {
 		return 0, io.EOF
 	}
@@ -120,9 +119,9 @@
 	return copy(p, e.event), nil
 }
 
-func (e *endless) Close() error { return nil }
+func (e *repeatedEvent) Close() error { return nil }
 
-// BenchmarkStream measures the reading of one event.
+// BenchmarkStream reads one event per iteration.
 func BenchmarkStream(b *testing.B) {
 	event := []byte("data: {\"id\":\"N-01\",\"object\":\"text_completion\",\"model\":\"gate-small\",\"choices\":[{\"index\":0,\"text\":\"wabc \",\"finish_reason\":null}]}\n\n")
 	ctx, cancel := context.WithCancelCause(b.Context())
@@ -130,8 +129,8 @@
 	r := &Response{
 		forwarder: New(Options{}),
 		attempt:   &Attempt{Nonce: "N-01", Interval: time.Minute},
-		ctx:       ctx, cancel: cancel, watch: newWatch(time.Minute, cancel),
-		reply: &Reply{body: &endless{event: event, left: b.N}},
+		ctx:       ctx, cancel: cancel, watchdog: newWatchdog(time.Minute, cancel),
+		reply: &Reply{body: &repeatedEvent{event: event, left: b.N}},
 	}
 	b.ReportAllocs()
 	r.Stream(discard{})
