--- a/exchanger/answer.go
+++ b/exchanger/answer.go
@@ -12,56 +12,57 @@
 	"amaranthgate.example/amaranthgate/placer"
 )
 
-// heldBytes is the largest answer that is read whole before the caller gets its
-// head. One that breaks off on the way can then be asked for again, or is a
-// failure, and never a success cut short.
-const heldBytes = 256 << 10
+// maxBufferedBytes is the largest body that is buffered before the caller gets the
+// header. An attempt whose answer is cut can then be retried or reported as failed.
+const maxBufferedBytes = 256 << 10
 
-// held is an answer that was read whole.
-type held struct {
+// bufferedAnswer is an answer with its complete body.
+type bufferedAnswer struct {
 	answer Answer
 	body   []byte
 }
 
-// plain reads a whole answer and passes it on, or holds it back when another
-// upstream may do better.
-func (d *delivery) plain(answer Answer, ticket *placer.Ticket) dispatcher.Result {
-	body, err := io.ReadAll(io.LimitReader(answer, heldBytes+1))
+// forwardWhole reads a whole answer and forwards it, or keeps it as the fallback if its
+// status is a server error.
+func (d *delivery) forwardWhole(answer Answer, ticket *placer.Ticket) dispatcher.Result {
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
-		return broken(err)
+		return cutResult(err)
 	}
 	ticket.First(d.opts.Timer.Now())
-	if len(body) > heldBytes {
-		return d.long(answer, body)
+	if len(body) > maxBufferedBytes {
+		return d.forwardLong(answer, body)
 	}
-	h := &held{answer: answer, body: body}
+	buffered := &bufferedAnswer{answer: answer, body: body}
 	if answer.Status() >= http.StatusInternalServerError {
-		d.held = h
+		d.fallback = buffered
 		return dispatcher.Result{Verdict: dispatcher.MayHaveRun, Reached: true}
 	}
-	d.passOn(h)
+	d.forwardBuffered(buffered)
 	return dispatcher.Result{Verdict: dispatcher.Done, Reached: true}
 }
 
-func broken(err error) dispatcher.Result {
+// cutResult is the result of an attempt whose answer broke off.
+func cutResult(err error) dispatcher.Result {
 	f := &forwarder.Failure{Cause: forwarder.CauseCut, Ran: forwarder.RanYes, Detail: err.Error()}
 	return dispatcher.Failed(f)
 }
 
-func (d *delivery) passOn(h *held) {
-	d.outcome.Status = h.answer.Status()
+func (d *delivery) forwardBuffered(b *bufferedAnswer) {
+	d.outcome.Status = b.answer.Status()
 	d.outcome.First = d.opts.Timer.Now().Sub(d.request.Start)
-	err := d.responder.Begin(h.answer, int64(len(h.body)))
+	err := d.responder.Begin(b.answer, int64(len(b.body)))
 	if err == nil {
-		err = d.responder.Write(h.body)
+		err = d.responder.Write(b.body)
 	}
 	if err != nil {
 		d.outcome.Reason = ReasonCallerGone
 	}
 }
 
-// long passes on an answer that is too large to be held.
-func (d *delivery) long(answer Answer, start []byte) dispatcher.Result {
+// forwardLong forwards an answer that is too large to be buffered. start is the part
+// already read.
+func (d *delivery) forwardLong(answer Answer, start []byte) dispatcher.Result {
 	d.outcome.Status = answer.Status()
 	d.outcome.First = d.opts.Timer.Now().Sub(d.request.Start)
 	err := d.responder.Begin(answer, -1)
@@ -71,16 +72,16 @@
 	buf := make([]byte, 32<<10)
 	for err == nil {
 		var n int
-		var end error
-		n, end = answer.Read(buf)
+		var readErr error
+		n, readErr = answer.Read(buf)
 		if n > 0 {
 			err = d.responder.Write(buf[:n])
 		}
 		switch {
-		case end == io.EOF:
+		case readErr == io.EOF:
 			return dispatcher.Result{Verdict: dispatcher.Done, Reached: true}
-		case end != nil:
-			d.outcome.Reason, d.outcome.Detail = ReasonInterrupted, end.Error()
+		case readErr != nil:
+			d.outcome.Reason, d.outcome.Detail = ReasonInterrupted, readErr.Error()
 			d.responder.Abort()
 			return dispatcher.Result{Verdict: dispatcher.Done, Reached: true}
 		}
--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -17,23 +17,23 @@
 	"amaranthgate.example/amaranthgate/scheduler"
 )
 
-// maxAttempts bounds how often one request is offered, refusals and connections
-// that did not stand included, so that a request does not tour a dead service.
+// maxAttempts limits the attempts of one request, including refusals and failed
+// connections, so that it is not sent to every upstream of a failed service.
 const maxAttempts = 4
 
-// delivery makes the attempts of one exchange. It is the dispatcher.Way of
-// requests whose answers are passed through.
+// delivery makes the attempts of one exchange. It implements dispatcher.Way for
+// requests whose answers are forwarded unchanged.
 type delivery struct {
 	*exchange
-	tried  []string
-	held   *held  // held is an answer that is passed on if no better one comes.
-	framed bool   // framed tells that the end of the last answer could be told from its upstream's.
-	stream *relay // stream is what the caller has of a stream.
-	// unplaced says why no upstream was chosen; ReasonNone if the endings of attempts do.
-	unplaced Reason
+	tried    []string
+	fallback *bufferedAnswer // fallback is the answer to forward if all other attempts fail.
+	framed   bool            // framed is Answer.Framed of the last answer.
+	stream   *streamProgress // stream is nil until the caller has part of a stream.
+	// placementReason says why no upstream was chosen; ReasonNone if attempts determine the reason.
+	placementReason Reason
 }
 
-// dispatch makes attempts and gives the final answer if none of them did.
+// dispatch makes attempts, and writes the final answer if none of them did.
 func (e *exchange) dispatch(ctx context.Context) {
 	d := &delivery{exchange: e}
 	tries := dispatcher.Run(ctx, dispatcher.Policy{
@@ -52,46 +52,45 @@
 // Continues implements dispatcher.Way.
 func (d *delivery) Continues() bool { return d.stream == nil || d.route.Resumable }
 
-// Choose implements dispatcher.Way. It waits until an upstream can begin the request.
+// Choose implements dispatcher.Way. It waits until an upstream has room for the request.
 func (d *delivery) Choose(ctx context.Context) (placer.Choice, bool) {
 	ask := d.ask()
 	if !d.allowed(ask) {
 		return placer.Choice{}, false
 	}
 	if ask.Prompt != nil && !d.opts.Placer.Fits(d.service, ask.Prompt) {
-		d.unplaced = ReasonTooLarge
+		d.placementReason = ReasonTooLarge
 		return placer.Choice{}, false
 	}
-	came := d.opts.Timer.Now()
-	defer func() { d.outcome.Waited += d.opts.Timer.Now().Sub(came) }()
-	for range mostReadings {
-		choice, verdict := d.enter(ctx, ask)
+	start := d.opts.Timer.Now()
+	defer func() { d.outcome.Waited += d.opts.Timer.Now().Sub(start) }()
+	for range maxPrefillWaits {
+		choice, verdict := d.awaitUpstream(ctx, ask)
 		if verdict != placer.Awaits {
 			return choice, verdict == placer.Chosen
 		}
-		d.readElsewhere(ctx, ask.Wait)
+		d.awaitPrefill(ctx, ask.Wait)
 		if ctx.Err() != nil {
 			return placer.Choice{}, false
 		}
 	}
 	ask.Due = time.Time{}
-	choice, verdict := d.enter(ctx, ask)
+	choice, verdict := d.awaitUpstream(ctx, ask)
 	return choice, verdict == placer.Chosen
 }
 
-// mostReadings bounds how many readings of other requests one waits for: the first may
-// fail, and another request begin it anew.
-const mostReadings = 2
+// maxPrefillWaits limits the prefills that one request waits for: the first can fail and
+// be restarted by another request.
+const maxPrefillWaits = 2
 
-// readElsewhere waits until an engine has read for another request what this one begins
-// with.
-func (d *delivery) readElsewhere(ctx context.Context, w placer.Wait) {
-	came := d.opts.Timer.Now()
+// awaitPrefill waits until the prefill of a shared prefix for another request ends.
+func (d *delivery) awaitPrefill(ctx context.Context, w placer.Wait) {
+	start := d.opts.Timer.Now()
 	w.For(ctx)
-	d.outcome.Awaited += d.opts.Timer.Now().Sub(came)
+	d.outcome.Awaited += d.opts.Timer.Now().Sub(start)
 }
 
-// ask returns what placement must know of the request.
+// ask returns the placement request.
 func (d *delivery) ask() *placer.Ask {
 	ask := &placer.Ask{Service: d.service, Prompt: d.request.Prompt, Exclude: d.tried, Objective: d.route.Objective}
 	if ask.Prompt != nil {
@@ -107,13 +106,13 @@
 	return ask
 }
 
-// enter waits in the queue until there is something else to say than that all are busy.
-func (d *delivery) enter(ctx context.Context, ask *placer.Ask) (placer.Choice, placer.Verdict) {
+// awaitUpstream waits in the queue until placement returns another verdict than Busy.
+func (d *delivery) awaitUpstream(ctx context.Context, ask *placer.Ask) (placer.Choice, placer.Verdict) {
 	var choice placer.Choice
 	verdict := placer.Busy
-	item := d.item(ask)
+	item := d.queueItem(ask)
 	item.Begin = func() bool {
-		if !d.allowed(ask) { // others may have met its like while it waited
+		if !d.allowed(ask) { // its standing may have changed while it waited
 			verdict = placer.None
 			return true
 		}
@@ -124,7 +123,7 @@
 	case scheduler.Granted:
 		d.gate.Started()
 	case scheduler.TooLate:
-		d.unplaced = ReasonOverloaded
+		d.placementReason = ReasonOverloaded
 	}
 	return choice, verdict
 }
@@ -138,9 +137,9 @@
 	if d.opts.Chosen != nil {
 		d.opts.Chosen(d.request, d.view, &choice)
 	}
-	dir := &Directions{
+	directions := &Directions{
 		Upstream:  choice.Upstream,
-		Remaining: d.end.Sub(d.opts.Timer.Now()),
+		Remaining: d.deadline.Sub(d.opts.Timer.Now()),
 		Once:      !d.route.Repeatable(),
 		Rank:      d.rank(),
 		Fetch:     choice.Fetch,
@@ -149,60 +148,59 @@
 		LastEvent: d.request.LastEvent,
 	}
 	if s, ok := d.view.Table.Service(choice.Upstream.Service); ok && s.MaxConnections > 0 {
-		dir.Connections = max(1, int(connectionShare*float64(s.MaxConnections)))
+		directions.Connections = max(1, int(connectionShare*float64(s.MaxConnections)))
 	}
 	if d.workspace != nil {
-		dir.Workspace = d.workspace.Name
+		directions.Workspace = d.workspace.Name
 	}
 	if d.request.Prompt != nil {
-		dir.Weights = choice.Weights
-		dir.Salt = d.salt(choice.Weights)
+		directions.Weights = choice.Weights
+		directions.Salt = d.salt(choice.Weights)
 	}
 	if d.stream != nil && d.stream.lastID != "" {
-		dir.LastEvent = d.stream.lastID
+		directions.LastEvent = d.stream.lastID
 	}
 	sent := d.opts.Timer.Now()
-	r := d.attempt(ctx, choice, dir)
-	choice.Ticket.Done(d.opts.Timer.Now(), d.learn(ctx, choice.Upstream, sent, r))
+	r := d.attempt(ctx, choice, directions)
+	choice.Ticket.Done(d.opts.Timer.Now(), d.recordResult(ctx, choice.Upstream, sent, r))
 	return r
 }
 
-// errSilent ends an attempt whose upstream has fallen silent.
-var errSilent = errors.New("exchanger: the upstream has fallen silent")
+// errStalled is the cause with which attempts at a stalled upstream are canceled.
+var errStalled = errors.New("exchanger: the upstream sent nothing for too long")
 
-// attempt carries out one attempt. One that may be repeated is given up when its upstream
-// falls silent, so that another can take it while there is time. The last one is not: the
-// silent upstream is the only one that may still answer.
-func (d *delivery) attempt(ctx context.Context, choice placer.Choice, dir *Directions) dispatcher.Result {
+// attempt makes one attempt. It is canceled when its upstream stalls if another attempt
+// is allowed; otherwise the stalled upstream may still answer.
+func (d *delivery) attempt(ctx context.Context, choice placer.Choice, directions *Directions) dispatcher.Result {
 	if !d.route.Repeatable() || d.outcome.Attempts >= d.route.MaxAttempts {
-		return d.send(ctx, choice, dir)
+		return d.send(ctx, choice, directions)
 	}
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	choice.Ticket.OnSilent(func() { giveUp(errSilent) })
-	r := d.send(ctx, choice, dir)
-	if r.Verdict != dispatcher.Done && context.Cause(ctx) == errSilent {
-		return dispatcher.Failed(&forwarder.Failure{Cause: forwarder.CauseTimeout, Ran: forwarder.RanUnknown, Detail: errSilent.Error()})
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	choice.Ticket.OnSilent(func() { cancel(errStalled) })
+	r := d.send(ctx, choice, directions)
+	if r.Verdict != dispatcher.Done && context.Cause(ctx) == errStalled {
+		return dispatcher.Failed(&forwarder.Failure{Cause: forwarder.CauseTimeout, Ran: forwarder.RanUnknown, Detail: errStalled.Error()})
 	}
 	return r
 }
 
-// send carries out one attempt and passes its answer on.
-func (d *delivery) send(ctx context.Context, choice placer.Choice, dir *Directions) dispatcher.Result {
-	answer, fail := d.opts.Sender.Send(ctx, d.request, dir)
+// send sends one attempt and forwards its answer.
+func (d *delivery) send(ctx context.Context, choice placer.Choice, directions *Directions) dispatcher.Result {
+	answer, fail := d.opts.Sender.Send(ctx, d.request, directions)
 	if fail != nil {
 		return dispatcher.Failed(fail)
 	}
 	defer answer.Close()
 	d.framed = answer.Framed()
 	if d.route.Kind == matcher.KindStream && answer.Status() == http.StatusOK {
-		return d.relay(answer, choice.Ticket)
+		return d.forwardStream(answer, choice.Ticket)
 	}
-	return d.plain(answer, choice.Ticket)
+	return d.forwardWhole(answer, choice.Ticket)
 }
 
-// forPlacement tells placement how the attempt went.
-func forPlacement(ctx context.Context, r dispatcher.Result) placer.Result {
+// placementResult converts the result of an attempt for placement.
+func placementResult(ctx context.Context, r dispatcher.Result) placer.Result {
 	switch {
 	case r.Verdict == dispatcher.Done:
 		return placer.ResultServed
@@ -218,28 +216,28 @@
 	return placer.ResultFailed
 }
 
-// conclude gives the final answer when no attempt gave it.
+// conclude writes the final answer if no attempt did.
 func (d *delivery) conclude(ctx context.Context, tries *dispatcher.Tries) {
 	ending := tries.Ending(ctx)
 	switch {
 	case d.stream != nil:
-		d.outcome.Reason = interrupted(ending)
+		d.outcome.Reason = interruptionReason(ending)
 		d.responder.Abort()
-	case d.held != nil:
-		d.passOn(d.held)
+	case d.fallback != nil:
+		d.forwardBuffered(d.fallback)
 	case ending == dispatcher.CallerGone:
 		d.outcome.Reason = ReasonCallerGone
 		d.responder.Abort()
-	case d.unplaced == ReasonBarred && tries.Ran() == forwarder.RanNo:
-		d.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonBarred, RetryAfter: retryBarred})
-	case d.unplaced == ReasonBarred:
+	case d.placementReason == ReasonBarred && tries.Ran() == forwarder.RanNo:
+		d.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonBarred, RetryAfter: retryAfterBarred})
+	case d.placementReason == ReasonBarred:
 		d.refuse(Refusal{Status: http.StatusBadGateway, Reason: ReasonBarred})
-	case tries.Ran() == forwarder.RanNo && d.unplaced == ReasonTooLarge:
-		d.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: d.unplaced}) // it would be no smaller later
-	case tries.Ran() == forwarder.RanNo && d.unplaced != ReasonNone:
-		d.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: d.unplaced, RetryAfter: retryFull})
+	case tries.Ran() == forwarder.RanNo && d.placementReason == ReasonTooLarge:
+		d.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: d.placementReason}) // a retry would not help
+	case tries.Ran() == forwarder.RanNo && d.placementReason != ReasonNone:
+		d.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: d.placementReason, RetryAfter: retryAfterFull})
 	case tries.Ran() == forwarder.RanNo:
-		d.refuse(notRun(ending, tries))
+		d.refuse(notRunRefusal(ending, tries))
 	case ending == dispatcher.Deadline:
 		d.refuse(Refusal{Status: http.StatusGatewayTimeout, Reason: ReasonDeadline})
 	default:
@@ -250,8 +248,8 @@
 	}
 }
 
-// interrupted says why a stream of which the caller has a part broke off.
-func interrupted(ending dispatcher.Ending) Reason {
+// interruptionReason returns why a stream was aborted.
+func interruptionReason(ending dispatcher.Ending) Reason {
 	switch ending {
 	case dispatcher.CallerGone:
 		return ReasonCallerGone
@@ -261,19 +259,19 @@
 	return ReasonInterrupted
 }
 
-// reasons are the words for endings in which a request has not run.
-var reasons = map[dispatcher.Ending]Reason{
+// notRunReasons maps endings of requests that did not run to reasons.
+var notRunReasons = map[dispatcher.Ending]Reason{
 	dispatcher.Deadline:   ReasonDeadline,
 	dispatcher.NoUpstream: ReasonNoUpstream,
 	dispatcher.Unreached:  ReasonUnreached,
 	dispatcher.Refused:    ReasonFull,
 }
 
-// notRun is the refusal of a request that has not run anywhere.
-func notRun(ending dispatcher.Ending, tries *dispatcher.Tries) Refusal {
-	r := Refusal{Status: http.StatusServiceUnavailable, Reason: reasons[ending], RetryAfter: retryFull}
+// notRunRefusal returns the refusal of a request of which no attempt ran.
+func notRunRefusal(ending dispatcher.Ending, tries *dispatcher.Tries) Refusal {
+	r := Refusal{Status: http.StatusServiceUnavailable, Reason: notRunReasons[ending], RetryAfter: retryAfterFull}
 	if ending == dispatcher.Refused {
-		r.RetryAfter = max(r.RetryAfter, min(tries.Last.Failure.RetryAfter, longestRetry))
+		r.RetryAfter = max(r.RetryAfter, min(tries.Last.Failure.RetryAfter, maxRetryAfter))
 	}
 	return r
 }
--- a/exchanger/doc.go
+++ b/exchanger/doc.go
@@ -1,22 +1,21 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package exchanger takes one request from its reading to its final answer,
-// whatever protocol callers and upstreams speak.
+// Package exchanger processes a request from its decoding to its final answer,
+// independently of the protocols of callers and upstreams.
 //
-// A codec on the callers' side decodes a Request and gives a Responder; a codec
-// on the upstreams' side is a Sender. In between, filters match the route, prove
-// the workspace and bound the time; then attempts are made until one gives an
-// answer or no other may be made.
+// The callers' codec decodes a Request and provides a Responder; the upstreams'
+// codec is a Sender. In between, filters match the route, authenticate the
+// workspace and set the deadline; then attempts are made until one gives an answer
+// or no other attempt is allowed.
 //
-// What may be said of a request follows from its attempts. Each ends as not run,
-// may have run, or ran. Only while all have not run may the caller be told so,
-// and only then may a request that must run at most once be sent again. An
-// answer is passed on whole or is seen to be broken; a stream that may be resumed
-// goes on at another upstream after the last event that the caller has.
+// An attempt did not run, may have run, or ran. Only if no attempt has run is the
+// caller told so, and only then is a request that must run at most once sent again.
+// An answer is forwarded completely or visibly aborted; a resumable stream continues
+// at another upstream after the last event that the caller has received.
 //
 // # Usage
 //
-//	x := exchanger.New(exchanger.Options{Beliefs: beliefs, Placer: placer, Sender: sender, Budget: budget})
+//	x := exchanger.New(exchanger.Options{Beliefs: views, Placer: placer, Sender: sender, Budget: budget})
 //	outcome := x.Handle(ctx, request, responder)
 package exchanger
--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -15,15 +15,15 @@
 	"amaranthgate.example/amaranthgate/quarantiner"
 )
 
-// Ended says that an upstream has ended while a request was under way there. That alone
-// does not say that the request is to blame: all that ran there has the same to tell.
+// Ended reports that an upstream terminated while a request was in progress there, which
+// need not be the cause: the same is reported for every request in progress.
 type Ended struct {
 	RequestID string
 	Identity  quarantiner.Identity
 	Upstream  follower.Upstream
 }
 
-// identify names what the request asks for, once it is known whose it is.
+// identify sets the identity of the request; the workspace must be known.
 func (e *exchange) identify() {
 	parts := quarantiner.Parts{Method: e.request.Method, Host: e.request.Host, Target: e.request.Target, Body: e.request.Body}
 	if e.workspace != nil {
@@ -32,24 +32,23 @@
 	e.outcome.Identity = quarantiner.Identify(parts)
 }
 
-// broke tells that the connection to an upstream broke off with the request under way.
-func broke(ctx context.Context, r dispatcher.Result) bool {
+// connectionBroke reports whether the connection broke while the request was in progress.
+func connectionBroke(ctx context.Context, r dispatcher.Result) bool {
 	if r.Failure == nil || r.Verdict != dispatcher.MayHaveRun || ctx.Err() != nil {
 		return false
 	}
 	return r.Failure.Cause == forwarder.CauseLost || r.Failure.Cause == forwarder.CauseCut
 }
 
-// upstreamEnded tells that an upstream has ended with the request under way. A connection
-// that breaks says so only if the upstream takes no new one either: resets, lost answers and
-// broken bodies of an upstream that lives are no sign of what its requests do to it.
+// upstreamEnded reports whether the upstream terminated while the request was in progress.
+// A broken connection counts only if the upstream also refuses a new one.
 func (d *delivery) upstreamEnded(ctx context.Context, u follower.Upstream, r dispatcher.Result) bool {
-	return d.opts.Refuses != nil && broke(ctx, r) && d.opts.Refuses(u.Address)
+	return d.opts.Refuses != nil && connectionBroke(ctx, r) && d.opts.Refuses(u.Address)
 }
 
-// learn takes in what an attempt that was sent at a time shows of the request, and returns
-// what it shows of the upstream.
-func (d *delivery) learn(ctx context.Context, u follower.Upstream, sent time.Time, r dispatcher.Result) placer.Result {
+// recordResult records in quarantine what the result of an attempt shows about the
+// request, and returns the result for placement.
+func (d *delivery) recordResult(ctx context.Context, u follower.Upstream, sent time.Time, r dispatcher.Result) placer.Result {
 	if d.upstreamEnded(ctx, u, r) {
 		d.opts.Quarantine.Ended(d.opts.Timer.Now(), d.outcome.Identity, u.Start(), sent)
 		if d.opts.Ended != nil {
@@ -62,15 +61,15 @@
 		d.opts.Quarantine.Gone(d.opts.Timer.Now(), u.Start())
 	case d.abandoned(ctx, r):
 		d.opts.Quarantine.Left(d.opts.Timer.Now(), d.outcome.Identity, u.Start())
-		d.watcher.left(u)
+		d.watcher.watch(u)
 	case d.succeeded(r):
 		d.opts.Quarantine.Served(d.opts.Timer.Now(), d.outcome.Identity)
 	}
-	return forPlacement(ctx, r)
+	return placementResult(ctx, r)
 }
 
-// abandoned tells that this host has given the attempt up while it may have been under way:
-// its caller has left, its time is over, or the upstream fell silent.
+// abandoned reports whether this host canceled the attempt while it may have been in
+// progress: the caller left, the deadline passed, or the upstream stalled.
 func (d *delivery) abandoned(ctx context.Context, r dispatcher.Result) bool {
 	if d.outcome.Reason == ReasonCallerGone {
 		return true
@@ -78,26 +77,25 @@
 	return r.Verdict == dispatcher.MayHaveRun && r.Failure != nil && (ctx.Err() != nil || r.Failure.Cause == forwarder.CauseTimeout)
 }
 
-// succeeded tells that the request was answered whole and well. A failure, though whole, does
-// not say that the request was begun: an upstream may fail all it gets at once.
+// succeeded reports whether the caller got a complete answer with a 2xx status. Error
+// answers don't show that the request was executed.
 func (d *delivery) succeeded(r dispatcher.Result) bool {
-	whole := r.Verdict == dispatcher.Done && d.outcome.Reason == ReasonNone && d.framed
-	return whole && d.outcome.Status >= http.StatusOK && d.outcome.Status < http.StatusMultipleChoices
+	complete := r.Verdict == dispatcher.Done && d.outcome.Reason == ReasonNone && d.framed
+	return complete && d.outcome.Status >= http.StatusOK && d.outcome.Status < http.StatusMultipleChoices
 }
 
-// allowed tells whether the request may be sent to an upstream at all, and asks for a place
-// of its own where it may end the upstream. That is what keeps a request that ends whatever
-// runs it from ending one upstream after the other: the answer to its caller ends what is
-// known of a request otherwise, and the caller sends it again elsewhere.
+// allowed reports whether the request may be sent to an upstream. For a suspect request
+// it asks for placement apart from others, so that a request which terminates its
+// upstreams does not take down one after another as callers retry it.
 func (d *delivery) allowed(ask *placer.Ask) bool {
 	id := d.outcome.Identity
 	switch v := d.opts.Quarantine.Standing(d.opts.Timer.Now(), id); v.Standing {
 	case quarantiner.Barred:
-		d.unplaced = ReasonBarred
+		d.placementReason = ReasonBarred
 		return false
 	case quarantiner.Suspect:
 		ask.Apart = placer.Apart{Key: id.Key(), Ends: v.Ends}
-		ask.Due = time.Time{} // it waits for no reading of another request
+		ask.Due = time.Time{} // suspect requests do not wait for the prefill of another
 	}
 	return true
 }
--- a/exchanger/ended_test.go
+++ b/exchanger/ended_test.go
@@ -18,10 +18,8 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// TestOnlySuccessClears: a request under which an upstream has ended is cleared by a whole
-// success, and by nothing else. Callers of a bad request were sent to an upstream that failed
-// all it got at once; each failure cleared it, and it ended twelve engines more, later than 3 s
-// after its third.
+// TestOnlySuccessClears checks that a suspect request is cleared by a complete success, but
+// not by an error answer or a refusal.
 func TestOnlySuccessClears(t *testing.T) {
 	for _, c := range []struct {
 		script []string
@@ -33,13 +31,13 @@
 	} {
 		t.Run(strings.Join(c.script, " "), func(t *testing.T) {
 			view := testView("Idempotent")
-			var beliefs atomic.Pointer[follower.View]
-			beliefs.Store(view)
+			var views atomic.Pointer[follower.View]
+			views.Store(view)
 			p := placer.New(placer.Options{})
 			p.Update(view)
 			ledger := quarantiner.New(quarantiner.Options{})
 			x := New(Options{
-				Beliefs: &beliefs, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(), Quarantine: ledger,
+				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(), Quarantine: ledger,
 				Budget:  retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return true },
 			})
@@ -49,9 +47,8 @@
 	}
 }
 
-// TestUpstreamEnded: an upstream is said to have ended when its answer broke off and it
-// takes no connection. A refusal, a failure of its own, an address that refused from the
-// beginning and a break of one that lives say nothing.
+// TestUpstreamEnded checks that an upstream is reported as terminated only if its answer
+// broke off and it refuses connections.
 func TestUpstreamEnded(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -70,13 +67,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			view := testView("Idempotent")
-			var beliefs atomic.Pointer[follower.View]
-			beliefs.Store(view)
+			var views atomic.Pointer[follower.View]
+			views.Store(view)
 			p := placer.New(placer.Options{})
 			p.Update(view)
 			var ended []Ended
 			x := New(Options{
-				Beliefs: &beliefs, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(),
+				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(),
 				Budget:  retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return c.refuses },
 				Ended:   func(e Ended) { ended = append(ended, e) },
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -19,48 +19,44 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// Times to come back that refused callers are told. Callers wait at most a
-// third of what they have left.
+// Values of Retry-After, and bounds of times.
 const (
-	retryUnready = 200 * time.Millisecond // retryUnready is about what a starting host needs to read its beliefs.
-	retryFull    = 50 * time.Millisecond  // retryFull is about three plain requests' work.
-	// retryBarred is the least time in which an operator can find out and lift the bar; callers
-	// that can't wait for so long need not come again.
-	retryBarred  = time.Minute
-	longestRetry = time.Second // longestRetry bounds what upstreams advise; callers do not wait for longer.
-	// longestWait bounds requests of callers that name no time on routes that
-	// name none.
-	longestWait = 60 * time.Second
+	retryAfterNotReady = 200 * time.Millisecond
+	retryAfterFull     = 50 * time.Millisecond
+	retryAfterBarred   = time.Minute // an operator has to lift the bar
+	maxRetryAfter      = time.Second // maxRetryAfter limits the Retry-After of upstreams.
+	maxTimeout         = 60 * time.Second
 )
 
-// Beliefs gives what the host believes now.
-type Beliefs interface {
+// ViewSource returns the host's current view of the configuration and the upstreams.
+type ViewSource interface {
 	Load() *follower.View
 }
 
-// Options set up an Exchanger.
+// Options configure an Exchanger.
 type Options struct {
-	Beliefs Beliefs
+	Beliefs ViewSource
 	Placer  *placer.Placer
 	Sender  Sender
 	Budget  *retrier.Shared
 	Timer   timer.Service
-	// Chosen is told of each upstream that a request is about to be sent to, and of
-	// the beliefs that the choice was made by; nil tells nobody.
+	// Chosen is called before each attempt, with the view that the choice is based on;
+	// optional.
 	Chosen func(r *Request, v *follower.View, c *placer.Choice)
-	// Quarantine remembers under which requests upstreams have ended; nil remembers it for
-	// this exchanger alone.
+	// Quarantine defaults to one that is local to this Exchanger.
 	Quarantine Quarantine
-	// Refuses tells that nobody listens at an address any more; nil never says so.
+	// Refuses probes whether no process listens at an address; nil means false.
 	Refuses func(address string) bool
-	// Gone tells the same where connections that stand say enough; nil never says so.
+	// Gone is like Refuses, but takes an open connection as proof of a running process;
+	// nil means false.
 	Gone func(address string) bool
-	// Ended is told of each request whose upstream has ended with it under way; nil tells
-	// nobody.
+	// Ended is called for each request whose upstream terminated while it was in progress;
+	// optional.
 	Ended func(e Ended)
 }
 
-// Quarantine remembers under which requests upstreams have ended.
+// Quarantine records during which requests upstreams terminated, and decides which
+// requests are suspect or barred.
 type Quarantine interface {
 	Standing(now time.Time, id quarantiner.Identity) quarantiner.Verdict
 	Ended(now time.Time, id quarantiner.Identity, start string, sent time.Time)
@@ -69,10 +65,10 @@
 	Served(now time.Time, id quarantiner.Identity)
 }
 
-// Exchanger takes requests to their answers. It is safe for concurrent use.
+// Exchanger processes requests. It is safe for concurrent use.
 type Exchanger struct {
 	opts    Options
-	gate    *scheduler.Gate // gate holds requests that no upstream can begin yet.
+	gate    *scheduler.Gate // gate queues requests while no upstream has room.
 	handle  dispatcher.Handler[*exchange, Outcome]
 	watcher watcher
 }
@@ -83,12 +79,12 @@
 		opts.Quarantine = quarantiner.New(quarantiner.Options{})
 	}
 	gate := scheduler.NewGate(func(it *scheduler.Item, _ int) bool { return it.Begin() })
-	x := &Exchanger{opts: opts, gate: gate, handle: dispatcher.Chain(forward, informed, routed, identified, bounded)}
+	x := &Exchanger{opts: opts, gate: gate, handle: dispatcher.Chain(forward, requireReady, matchRoute, authenticate, limitTime)}
 	x.watcher.opts = &x.opts
 	return x
 }
 
-// exchange is one request on its way.
+// exchange is the processing of one request.
 type exchange struct {
 	*Exchanger
 	request   *Request
@@ -97,11 +93,12 @@
 	route     *matcher.Route
 	workspace *matcher.Workspace // workspace is nil on public routes.
 	service   string
-	end       time.Time // end is when the caller's or the route's time is over.
+	deadline  time.Time
 	outcome   Outcome
 }
 
-// Handle takes a request to its final answer. ctx ends when the caller leaves.
+// Handle processes a request up to its final answer. ctx must be canceled when the
+// caller leaves.
 func (x *Exchanger) Handle(ctx context.Context, r *Request, w Responder) Outcome {
 	e := &exchange{Exchanger: x, request: r, responder: w, view: x.opts.Beliefs.Load()}
 	o := x.handle(ctx, e)
@@ -110,24 +107,22 @@
 	return o
 }
 
-// handler is a step of the chain.
 type handler = dispatcher.Handler[*exchange, Outcome]
 
 const (
-	// unreadyShare is the part of a caller's time for which a request waits at a host that
-	// has just started, and unreadyMost the longest. Callers come back once only, so that a
-	// refusal costs them that; a host with a whole core knows what it needs after 0.14 s.
-	unreadyShare = 0.08
-	unreadyMost  = 300 * time.Millisecond
-	unreadyPoll  = 5 * time.Millisecond
+	// readyWaitShare and maxReadyWait limit how long a request waits for a starting host,
+	// as a share of the caller's timeout and in total.
+	readyWaitShare    = 0.08
+	maxReadyWait      = 300 * time.Millisecond
+	readyPollInterval = 5 * time.Millisecond
 )
 
-// becomeReady waits a little for this host to know what is in force.
-func (e *exchange) becomeReady(ctx context.Context) {
-	most := min(unreadyMost, time.Duration(unreadyShare*float64(e.request.Patience)))
-	ctx, cancel := context.WithTimeout(ctx, most)
+// awaitReady waits until this host has a ready view or the wait limit has passed.
+func (e *exchange) awaitReady(ctx context.Context) {
+	limit := min(maxReadyWait, time.Duration(readyWaitShare*float64(e.request.Patience)))
+	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	tick := time.NewTicker(unreadyPoll)
+	tick := time.NewTicker(readyPollInterval)
 	defer tick.Stop()
 	for !e.view.Ready() {
 		select {
@@ -139,21 +134,21 @@
 	}
 }
 
-// informed refuses requests while this host does not know what is in force.
-func informed(next handler) handler {
+// requireReady refuses requests while this host has no ready view.
+func requireReady(next handler) handler {
 	return func(ctx context.Context, e *exchange) Outcome {
 		if !e.view.Ready() {
-			e.becomeReady(ctx)
+			e.awaitReady(ctx)
 		}
 		if !e.view.Ready() {
-			return e.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNotReady, RetryAfter: retryUnready})
+			return e.refuse(Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNotReady, RetryAfter: retryAfterNotReady})
 		}
 		return next(ctx, e)
 	}
 }
 
-// routed finds the route.
-func routed(next handler) handler {
+// matchRoute sets the route and selects the service.
+func matchRoute(next handler) handler {
 	return func(ctx context.Context, e *exchange) Outcome {
 		var ok bool
 		if e.route, ok = e.view.Table.Route(e.request.Host, e.request.Path); !ok {
@@ -165,8 +160,8 @@
 	}
 }
 
-// identified finds the workspace that the caller's key proves.
-func identified(next handler) handler {
+// authenticate sets the workspace of the caller's key, except on public routes.
+func authenticate(next handler) handler {
 	return func(ctx context.Context, e *exchange) Outcome {
 		if e.view.Table.Keyed() && !e.route.Public {
 			var ok bool
@@ -179,41 +174,40 @@
 	}
 }
 
-// bounded ends the work when the request's time is over. A request that must run
-// at most once is brought to its end when the caller leaves: breaking it off would
-// leave the caller's next question without an answer as well.
-func bounded(next handler) handler {
+// limitTime sets the deadline. A request that must run at most once is not canceled
+// when the caller leaves, as that would leave its result unknown.
+func limitTime(next handler) handler {
 	return func(ctx context.Context, e *exchange) Outcome {
 		if !e.route.Repeatable() && e.route.Kind != matcher.KindStream {
 			ctx = context.WithoutCancel(ctx)
 		}
-		e.end = e.request.Start.Add(e.patience())
-		ctx, cancel := timer.WithDeadline(ctx, e.opts.Timer, e.end)
+		e.deadline = e.request.Start.Add(e.timeout())
+		ctx, cancel := timer.WithDeadline(ctx, e.opts.Timer, e.deadline)
 		defer cancel()
 		return next(ctx, e)
 	}
 }
 
-// patience is the lesser of the caller's time and the route's.
-func (e *exchange) patience() time.Duration {
-	wait := longestWait
+// timeout returns the smallest of the caller's timeout, the route's and maxTimeout.
+func (e *exchange) timeout() time.Duration {
+	timeout := maxTimeout
 	if e.route.Timeout > 0 {
-		wait = min(wait, e.route.Timeout)
+		timeout = min(timeout, e.route.Timeout)
 	}
 	if e.request.Patience > 0 {
-		wait = min(wait, e.request.Patience)
+		timeout = min(timeout, e.request.Patience)
 	}
-	return wait
+	return timeout
 }
 
-// forward is the last step: the attempts.
+// forward is the last handler of the chain, which makes the attempts.
 func forward(ctx context.Context, e *exchange) Outcome {
 	e.opts.Budget.Request(e.service)
 	e.dispatch(ctx)
 	return e.outcome
 }
 
-// refuse gives the caller an answer of the system's own.
+// refuse answers the request with a refusal.
 func (e *exchange) refuse(r Refusal) Outcome {
 	e.outcome.Status = r.Status
 	e.outcome.Reason = r.Reason
@@ -221,7 +215,7 @@
 	return e.outcome
 }
 
-// rank is the request's urgency.
+// rank returns the request's rank, 0 being the most urgent.
 func (e *exchange) rank() int {
 	if e.workspace != nil && e.workspace.Rank != nil {
 		return *e.workspace.Rank
@@ -229,7 +223,8 @@
 	return e.route.Rank
 }
 
-// salt sets apart context of other weight versions and of isolated workspaces.
+// salt returns the cache salt, which separates the cached context of weight versions
+// and of isolated workspaces.
 func (e *exchange) salt(weights uint64) string {
 	s := placer.Salt{Model: e.request.Prompt.Model, Weights: weights}
 	if e.workspace != nil && e.workspace.Isolated {
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -37,7 +37,7 @@
 	Events    string
 }
 
-// scriptedSender ends each attempt as its script says.
+// scriptedSender ends each attempt as scripted.
 type scriptedSender struct {
 	script []string
 	sent   int
@@ -90,7 +90,7 @@
 	end      error
 	closed   bool
 	unframed bool
-	until    <-chan struct{} // until holds the end of the body back, if set.
+	until    <-chan struct{} // until delays the end of the body until it is closed; optional.
 }
 
 func (a *fakeAnswer) Status() int  { return a.status }
@@ -108,7 +108,7 @@
 	return n, nil
 }
 
-// recorder is a caller.
+// recorder is a Responder that records the answer.
 type recorder struct {
 	status  int
 	length  int64
@@ -171,8 +171,8 @@
 
 func checkAttempts(t *testing.T, c attemptCase) {
 	view := testView(c.Route)
-	var beliefs atomic.Pointer[follower.View]
-	beliefs.Store(view)
+	var views atomic.Pointer[follower.View]
+	views.Store(view)
 	p := placer.New(placer.Options{})
 	p.Update(view)
 	allowance := retrier.Allowance{Share: 1, Slack: 100}
@@ -184,7 +184,7 @@
 	for range 20 {
 		budget.Request("s")
 	}
-	x := New(Options{Beliefs: &beliefs, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
+	x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
 	caller := &recorder{}
 	key := c.Key
 	if key == "" {
@@ -204,10 +204,10 @@
 		assert.Equal(t, ids(caller.body.String()), c.Events)
 	}
 	if caller.status == 503 {
-		assert.Assert(t, caller.retry > 0, "a refusal that has not run says when to come back")
+		assert.Assert(t, caller.retry > 0, "a refusal of a request that has not run must have a Retry-After")
 	}
 	for i := range 3 {
-		assert.Equal(t, p.Busy(fmt.Sprint("u", i)), 0, "work is counted that has ended")
+		assert.Equal(t, p.Busy(fmt.Sprint("u", i)), 0, "an ended request is still counted")
 	}
 }
 
@@ -221,32 +221,31 @@
 	return strings.Join(out, " ")
 }
 
-// TestCallerLeaves: when the caller leaves, what may be repeated is ended at
-// its upstream; what must run at most once is brought to its end.
+// TestCallerLeaves checks that an attempt is canceled when the caller leaves, unless the
+// request must run at most once.
 func TestCallerLeaves(t *testing.T) {
 	for _, c := range []struct {
-		kind  string
-		ended bool
+		kind     string
+		canceled bool
 	}{{"Idempotent", true}, {"Stream", true}, {"Once", false}} {
 		t.Run(c.kind, func(t *testing.T) {
 			view := testView(c.kind)
-			var beliefs atomic.Pointer[follower.View]
-			beliefs.Store(view)
+			var views atomic.Pointer[follower.View]
+			views.Store(view)
 			p := placer.New(placer.Options{})
 			p.Update(view)
-			sender := &watchingSender{}
-			x := New(Options{Beliefs: &beliefs, Placer: p, Sender: sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
+			sender := &leavingSender{}
+			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
 			ctx, cancel := context.WithCancel(context.Background())
 			sender.leave = cancel
 			x.Handle(ctx, &Request{ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
-			assert.Equal(t, sender.ended, c.ended)
+			assert.Equal(t, sender.canceled, c.canceled)
 		})
 	}
 }
 
-// watchingSender lets the caller leave and sees whether the attempt is ended.
-// TestWhoEndedAStream: what is noted of a stream that broke off after some events
-// tells the caller's leaving and the end of its time from an upstream's failure.
+// TestWhoEndedAStream checks that the reason of an aborted stream distinguishes the
+// caller's leaving and the deadline from a failure of the upstream.
 func TestWhoEndedAStream(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -255,8 +254,8 @@
 	}{{"the caller left", true, ReasonCallerGone}, {"the time was over", false, ReasonDeadline}} {
 		t.Run(c.name, func(t *testing.T) {
 			view := testView("Stream")
-			var beliefs atomic.Pointer[follower.View]
-			beliefs.Store(view)
+			var views atomic.Pointer[follower.View]
+			views.Store(view)
 			p := placer.New(placer.Options{})
 			p.Update(view)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -265,7 +264,7 @@
 			if c.leave {
 				sender.cancel = cancel
 			}
-			x := New(Options{Beliefs: &beliefs, Placer: p, Sender: sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
+			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
 			caller := &recorder{}
 			o := x.Handle(ctx, &Request{ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key"}, caller)
 			assert.Equal(t, o.Reason, c.want)
@@ -275,7 +274,7 @@
 	}
 }
 
-// stallingSender answers with two events and then nothing until the attempt ends.
+// stallingSender sends two events and then nothing until the attempt is canceled.
 type stallingSender struct{ cancel func() }
 
 func (s stallingSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
@@ -283,13 +282,14 @@
 	return &fakeAnswer{status: 200, body: events(0, 2), end: errCut, until: ctx.Done()}, nil
 }
 
-type watchingSender struct {
-	leave func()
-	ended bool
+// leavingSender makes the caller leave and records whether that cancels the attempt.
+type leavingSender struct {
+	leave    func()
+	canceled bool
 }
 
-func (s *watchingSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
+func (s *leavingSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
 	s.leave()
-	s.ended = ctx.Err() != nil
+	s.canceled = ctx.Err() != nil
 	return &fakeAnswer{status: 200, body: "x", end: io.EOF}, nil
 }
--- a/exchanger/relay.go
+++ b/exchanger/relay.go
@@ -12,20 +12,20 @@
 	"amaranthgate.example/amaranthgate/placer"
 )
 
-// relay is the caller's side of a stream: whole events, across upstreams.
-type relay struct {
+// streamProgress is what the caller has received of a stream, across attempts.
+type streamProgress struct {
 	lastID string
 }
 
-// eventEnd is the empty line that ends an event.
+// eventEnd ends an event.
 const eventEnd = "\n\n"
 
-// maxEventBytes bounds one event; a longer one is no event.
+// maxEventBytes limits the length of an event.
 const maxEventBytes = 1 << 20
 
-// relay passes on the events of a stream as they come. Only whole events are
-// passed on, so that another upstream can go on after the last.
-func (d *delivery) relay(answer Answer, ticket *placer.Ticket) dispatcher.Result {
+// forwardStream forwards the events of a stream as they arrive. Only complete events
+// are forwarded, so that another upstream can resume after the last one.
+func (d *delivery) forwardStream(answer Answer, ticket *placer.Ticket) dispatcher.Result {
 	var pending []byte
 	buf := make([]byte, 16<<10)
 	for {
@@ -33,7 +33,7 @@
 		if n > 0 {
 			ticket.Sign(d.opts.Timer.Now())
 			pending = append(pending, buf[:n]...)
-			rest, fail := d.events(answer, pending, ticket)
+			rest, fail := d.forwardEvents(answer, pending, ticket)
 			if fail != nil {
 				return *fail
 			}
@@ -43,7 +43,7 @@
 		case err == io.EOF:
 			return d.endStream(answer, pending)
 		case err != nil:
-			return broken(err)
+			return cutResult(err)
 		case len(pending) > maxEventBytes:
 			return dispatcher.Failed(&forwarder.Failure{
 				Cause: forwarder.CauseMalformed, Ran: forwarder.RanYes, Detail: "an event of the stream has no end",
@@ -52,16 +52,16 @@
 	}
 }
 
-// events passes on the whole events at the beginning of b and returns the rest.
-func (d *delivery) events(answer Answer, b []byte, ticket *placer.Ticket) ([]byte, *dispatcher.Result) {
-	whole, last := d.wholeEvents(b)
-	if whole == 0 {
+// forwardEvents forwards the complete events at the beginning of b and returns the rest.
+func (d *delivery) forwardEvents(answer Answer, b []byte, ticket *placer.Ticket) ([]byte, *dispatcher.Result) {
+	length, last := d.completeEvents(b)
+	if length == 0 {
 		return b, nil
 	}
 	ticket.First(d.opts.Timer.Now())
-	err := d.begin(answer)
+	err := d.beginStream(answer)
 	if err == nil {
-		err = d.responder.Write(b[:whole])
+		err = d.responder.Write(b[:length])
 	}
 	if err == nil {
 		err = d.responder.Flush()
@@ -69,13 +69,13 @@
 	if err != nil {
 		return nil, d.callerLeft()
 	}
-	d.stream.lastID = later(d.stream.lastID, last)
-	return b[whole:], nil
+	d.stream.lastID = laterID(d.stream.lastID, last)
+	return b[length:], nil
 }
 
-// wholeEvents returns the length of the whole events at the beginning of b, and
+// completeEvents returns the length of the complete events at the beginning of b and
 // the latest of their IDs.
-func (d *delivery) wholeEvents(b []byte) (length int, last string) {
+func (d *delivery) completeEvents(b []byte) (length int, last string) {
 	for {
 		i := bytes.Index(b[length:], []byte(eventEnd))
 		if i < 0 {
@@ -84,14 +84,14 @@
 		next := length + i + len(eventEnd)
 		if id := eventID(b[length:next]); id != "" {
 			d.outcome.Events++
-			last = later(last, id)
+			last = laterID(last, id)
 		}
 		length = next
 	}
 }
 
-// later returns the ID that comes later: IDs grow, so the longer or greater one.
-func later(a, b string) string {
+// laterID returns the later of two IDs, which are ascending decimal numbers.
+func laterID(a, b string) string {
 	if len(b) > len(a) || len(b) == len(a) && b > a {
 		return b
 	}
@@ -103,21 +103,21 @@
 	return &dispatcher.Result{Verdict: dispatcher.Done, Reached: true}
 }
 
-// begin writes the head of the first upstream's answer.
-func (d *delivery) begin(answer Answer) error {
+// beginStream writes the header of the answer, unless an earlier attempt did.
+func (d *delivery) beginStream(answer Answer) error {
 	if d.stream != nil {
 		return nil
 	}
-	d.stream = &relay{}
+	d.stream = &streamProgress{}
 	d.outcome.Status = answer.Status()
 	d.outcome.First = d.opts.Timer.Now().Sub(d.request.Start)
 	return d.responder.Begin(answer, -1)
 }
 
-// endStream ends a stream whose upstream has ended it. Bytes after the last
-// whole event are passed on: the upstream's answer is whole with them.
+// endStream ends a stream after the end of the upstream's answer, and forwards the
+// bytes after the last complete event.
 func (d *delivery) endStream(answer Answer, rest []byte) dispatcher.Result {
-	err := d.begin(answer)
+	err := d.beginStream(answer)
 	if err == nil && len(rest) > 0 {
 		err = d.responder.Write(rest)
 	}
--- a/exchanger/unready_test.go
+++ b/exchanger/unready_test.go
@@ -18,22 +18,22 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// turning are the beliefs of a host that becomes ready after it was asked a few times.
-type turning struct {
-	asked atomic.Int32
+// lateView is a ViewSource that becomes ready after some calls of Load.
+type lateView struct {
+	loads atomic.Int32
 	after int32
 	view  *follower.View
 }
 
-func (b *turning) Load() *follower.View {
-	if b.asked.Add(1) <= b.after {
+func (b *lateView) Load() *follower.View {
+	if b.loads.Add(1) <= b.after {
 		return &follower.View{}
 	}
 	return b.view
 }
 
-// TestHostBecomesReady: a request waits a little for a host that has just started, and is
-// refused at once if its caller has no time for that, or at the end of it.
+// TestHostBecomesReady checks that a request waits for a starting host within the limit,
+// and is refused at once if the caller gives no timeout.
 func TestHostBecomesReady(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -47,11 +47,11 @@
 		{"not ready in time", 1 << 30, 100 * time.Millisecond, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := &turning{after: c.after, view: testView("Idempotent")}
+			b := &lateView{after: c.after, view: testView("Idempotent")}
 			p := placer.New(placer.Options{})
 			p.Update(b.view)
-			sender := &heldSender{let: make(chan struct{})}
-			close(sender.let)
+			sender := &blockingSender{release: make(chan struct{})}
+			close(sender.release)
 			x := New(Options{Beliefs: b, Placer: p, Sender: sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
 			caller := &recorder{}
 			r := &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key", Patience: c.patience}
--- a/exchanger/waiting.go
+++ b/exchanger/waiting.go
@@ -12,20 +12,19 @@
 	"amaranthgate.example/amaranthgate/scheduler"
 )
 
-// rankFactor is how many times the share of the next rank a rank gets while both wait.
-// The more urgent one is then only held up when it asks for four fifths of all engines
-// by itself, and the less urgent one never stands still.
+// rankFactor is the ratio of the queue weights of a rank and the next less urgent one,
+// which is therefore slowed but not starved.
 const rankFactor = 4
 
-// item is the request as it waits.
-func (e *exchange) item(ask *placer.Ask) *scheduler.Item {
+// queueItem returns the queue item of the request.
+func (e *exchange) queueItem(ask *placer.Ask) *scheduler.Item {
 	it := &scheduler.Item{
-		Class:           strconv.Itoa(e.rank()) + "/" + e.route.Name, // a workspace's rank goes before the route's
+		Class:           strconv.Itoa(e.rank()) + "/" + e.route.Name, // a workspace's rank overrides the route's
 		ClassWeight:     math.Pow(rankFactor, -float64(e.rank())),
 		Rank:            e.rank(),
 		WorkspaceWeight: 1,
 		Cost:            1,
-		Latest:          e.end,
+		Latest:          e.deadline,
 	}
 	if e.workspace != nil {
 		it.Workspace = e.workspace.Name
@@ -35,20 +34,20 @@
 	}
 	it.Cost = float64(ask.Prompt.Tokens() + ask.Prompt.Output)
 	least := placer.LeastTime(ask.Prompt)
-	it.Latest = e.end.Add(-least)
+	it.Latest = e.deadline.Add(-least)
 	if e.route.Objective > 0 {
 		it.Due = e.request.Start.Add(e.route.Objective - least)
 	}
 	return it
 }
 
-// Wake looks whether upstreams can begin requests that wait: after one had more room,
-// and from time to time.
+// Wake admits waiting requests for which upstreams have room. It must be called when
+// an upstream gets more room, and periodically.
 func (x *Exchanger) Wake(now time.Time) { x.gate.Wake(now) }
 
-// Waiting returns the number of requests that wait for an upstream.
+// Waiting returns the number of requests waiting for an upstream.
 func (x *Exchanger) Waiting() int { return x.gate.Waiting() }
 
-// Close refuses all requests that wait, as not run, and from now on those that would
-// have to.
+// Close refuses all waiting requests, and later ones that would have to wait, as not
+// run.
 func (x *Exchanger) Close() { x.gate.Close() }
--- a/exchanger/waiting_bench_test.go
+++ b/exchanger/waiting_bench_test.go
@@ -16,8 +16,8 @@
 	"amaranthgate.example/amaranthgate/scheduler"
 )
 
-// BenchmarkAdmission admits one of 1,000 waiting requests when one of 90 full engines has
-// room again, and counts a look that finds no room.
+// BenchmarkAdmission admits one of 1,000 waiting requests when one of 90 full engines gets
+// room, and measures an attempt without room.
 func BenchmarkAdmission(b *testing.B) {
 	v := &follower.View{
 		Table: matcher.New(matcher.Parts{Services: []matcher.Service{
@@ -36,10 +36,10 @@
 	p.Update(v)
 	now := time.Unix(1000, 0)
 	salt := func(uint64) string { return "1/m/" }
-	var under []*placer.Ticket
+	var inProgress []*placer.Ticket
 	var queue scheduler.Queue
 	n := 0
-	wait := func() {
+	enqueue := func() {
 		ask := &placer.Ask{Service: "s", SaltOf: salt, Prompt: &placer.Prompt{Model: "m", Output: 80, Parts: []placer.Part{
 			{ID: fmt.Sprint("a", n%3), Tokens: 500}, {ID: fmt.Sprint("b", n%238), Tokens: 8600}, {ID: fmt.Sprint(n), Tokens: 2900},
 		}}}
@@ -50,7 +50,7 @@
 				c, verdict := p.Choose(now, ask)
 				if verdict == placer.Chosen {
 					c.Ticket.First(now)
-					under = append(under, c.Ticket)
+					inProgress = append(inProgress, c.Ticket)
 				}
 				return verdict != placer.Busy
 			},
@@ -58,7 +58,7 @@
 	}
 	begin := func(it *scheduler.Item) bool { return it.Begin() }
 	for queue.Len() < 1000 {
-		wait()
+		enqueue()
 		for queue.Pop(begin) != nil {
 		}
 	}
@@ -66,9 +66,9 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			b.StopTimer()
-			under[0].Done(now, placer.ResultServed)
-			under = under[1:]
-			wait()
+			inProgress[0].Done(now, placer.ResultServed)
+			inProgress = inProgress[1:]
+			enqueue()
 			b.StartTimer()
 			it := queue.Pop(begin)
 			b.StopTimer()
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -21,7 +21,7 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// engineView has one engine with memory for one of the test's prompts.
+// engineView returns a view of one engine with memory for one of the test's prompts.
 func engineView() *follower.View {
 	return &follower.View{
 		Listed: true,
@@ -38,37 +38,37 @@
 	}
 }
 
-// heldSender answers each request when it is let go.
-type heldSender struct {
-	sent atomic.Int32
-	let  chan struct{}
+// blockingSender answers each request after a receive from release.
+type blockingSender struct {
+	sent    atomic.Int32
+	release chan struct{}
 }
 
-func (s *heldSender) Send(context.Context, *Request, *Directions) (Answer, *forwarder.Failure) {
+func (s *blockingSender) Send(context.Context, *Request, *Directions) (Answer, *forwarder.Failure) {
 	s.sent.Add(1)
-	<-s.let
+	<-s.release
 	return &fakeAnswer{status: 200, body: events(0, 1), end: io.EOF}, nil
 }
 
-// waitingHost has one request under way that leaves no room, and one that waits.
+// waitingHost has one request in progress that leaves no room, and one that waits.
 type waitingHost struct {
 	*Exchanger
-	sender *heldSender
+	sender *blockingSender
 	placer *placer.Placer
 	ctx    context.Context
-	leave  context.CancelFunc // leave lets the caller that waits go.
+	leave  context.CancelFunc // leave makes the waiting caller leave.
 	caller *recorder
 	ended  chan Outcome
 }
 
 func newWaitingHost(t *testing.T, patience time.Duration) *waitingHost {
-	h := &waitingHost{sender: &heldSender{let: make(chan struct{})}, caller: &recorder{}, ended: make(chan Outcome, 1)}
+	h := &waitingHost{sender: &blockingSender{release: make(chan struct{})}, caller: &recorder{}, ended: make(chan Outcome, 1)}
 	view := engineView()
-	var beliefs atomic.Pointer[follower.View]
-	beliefs.Store(view)
+	var views atomic.Pointer[follower.View]
+	views.Store(view)
 	h.placer = placer.New(placer.Options{})
 	h.placer.Update(view)
-	h.Exchanger = New(Options{Beliefs: &beliefs, Placer: h.placer, Sender: h.sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
+	h.Exchanger = New(Options{Beliefs: &views, Placer: h.placer, Sender: h.sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
 	h.ctx, h.leave = context.WithCancel(t.Context())
 	request := func(patience time.Duration) *Request {
 		return &Request{
@@ -87,25 +87,25 @@
 	return h
 }
 
-// TestRequestsWaitForRoom: a request that an engine has no memory for is sent when
-// another one has ended, and not before.
+// TestRequestsWaitForRoom checks that a request waits until another one has released the
+// memory that it needs.
 func TestRequestsWaitForRoom(t *testing.T) {
 	h := newWaitingHost(t, 0)
 	h.Wake(time.Now())
 	assert.Equal(t, int(h.sender.sent.Load()), 1)
-	h.sender.let <- struct{}{}
+	h.sender.release <- struct{}{}
 	for h.placer.Busy("e") > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.Wake(time.Now())
-	h.sender.let <- struct{}{}
+	h.sender.release <- struct{}{}
 	o := <-h.ended
 	assert.Equal(t, o.Status, 200)
 	assert.Assert(t, o.Waited > 0)
 }
 
-// TestWaitingCallerLeaves: who leaves while the request waits leaves the queue, and
-// nothing is sent.
+// TestWaitingCallerLeaves checks that a request leaves the queue unsent when its caller
+// leaves.
 func TestWaitingCallerLeaves(t *testing.T) {
 	h := newWaitingHost(t, 0)
 	h.leave()
@@ -113,11 +113,11 @@
 	assert.Equal(t, o.Reason, ReasonCallerGone)
 	assert.Equal(t, h.Waiting(), 0)
 	assert.Equal(t, int(h.sender.sent.Load()), 1)
-	close(h.sender.let)
+	close(h.sender.release)
 }
 
-// TestNoRoomInTime: a request that can't be begun in its time is refused as not run, and
-// so are all that wait when the host ends.
+// TestNoRoomInTime checks that a waiting request is refused as not run when its time is
+// over, and when the host shuts down.
 func TestNoRoomInTime(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -134,13 +134,13 @@
 			assert.Equal(t, o.Reason, ReasonOverloaded)
 			assert.Assert(t, h.caller.retry > 0)
 			assert.Equal(t, int(h.sender.sent.Load()), 1)
-			close(h.sender.let)
+			close(h.sender.release)
 		})
 	}
 }
 
-// TestTooLarge: a prompt that no engine could ever hold is refused at once, with no time to
-// come back.
+// TestTooLarge checks that a prompt larger than any engine's memory is refused at once,
+// without a Retry-After.
 func TestTooLarge(t *testing.T) {
 	h := newWaitingHost(t, 0)
 	caller := &recorder{}
@@ -152,27 +152,27 @@
 	assert.Equal(t, caller.status, 503)
 	assert.Equal(t, caller.retry, time.Duration(0))
 	h.leave()
-	close(h.sender.let)
+	close(h.sender.release)
 }
 
-// silentSender lets the first upstreams be silent and answers at the next.
+// silentSender sends nothing for the first attempts and answers the next.
 type silentSender struct {
-	sent   atomic.Int32
-	silent int32
-	told   chan struct{}
+	sent     atomic.Int32
+	silent   int32
+	received chan struct{}
 }
 
 func (s *silentSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
 	if s.sent.Add(1) <= s.silent {
-		s.told <- struct{}{}
+		s.received <- struct{}{}
 		<-ctx.Done()
 		return nil, &forwarder.Failure{Cause: forwarder.CauseCaller, Ran: forwarder.RanUnknown}
 	}
 	return &fakeAnswer{status: 200, body: "whole", end: io.EOF}, nil
 }
 
-// TestSilentUpstream: a request whose upstream gives no sign of life is given to another
-// if it may be repeated, and only then. The last upstream that may have it keeps it.
+// TestSilentUpstream checks that a request whose upstream stalls is sent to another one
+// only if it is repeatable and another attempt is allowed.
 func TestSilentUpstream(t *testing.T) {
 	for _, c := range []struct {
 		kind   string
@@ -182,22 +182,22 @@
 	}{{"Idempotent", 1, 200, 2}, {"Idempotent", 2, 504, 2}, {"Once", 1, 504, 1}} {
 		t.Run(fmt.Sprint(c.kind, c.silent), func(t *testing.T) {
 			view := testView(c.kind)
-			var beliefs atomic.Pointer[follower.View]
-			beliefs.Store(view)
+			var views atomic.Pointer[follower.View]
+			views.Store(view)
 			p := placer.New(placer.Options{})
 			p.Update(view)
-			sender := &silentSender{silent: c.silent, told: make(chan struct{})}
+			sender := &silentSender{silent: c.silent, received: make(chan struct{})}
 			budget := retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100})
 			for range 20 {
 				budget.Request("s")
 			}
-			x := New(Options{Beliefs: &beliefs, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
+			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
 			ended := make(chan Outcome, 1)
 			go func() {
 				ended <- x.Handle(t.Context(), &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
 			}()
 			for range min(c.silent, c.sent) {
-				<-sender.told
+				<-sender.received
 				for at := time.Duration(0); at < 2*time.Second; at += 100 * time.Millisecond {
 					p.Watch(time.Now().Add(at))
 				}
--- a/exchanger/watch.go
+++ b/exchanger/watch.go
@@ -10,54 +10,53 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// watchTime is when a host looks whether an upstream has ended at which it has given up a
-// request: such requests end theirs within 0.4 s, and an upstream is away for 1 s at least.
-const watchTime = 600 * time.Millisecond
+// checkDelay is the time from an abandoned attempt to the check of its upstream: long
+// enough for the request to terminate the upstream, and shorter than a restart.
+const checkDelay = 600 * time.Millisecond
 
-// watcher looks after upstreams at which requests were given up. Nothing is under way there
-// any more by which this host would notice their end, and the next request may be sent to
-// another host.
+// watcher checks whether upstreams terminate after attempts there were abandoned, which
+// this host would otherwise not notice without another request in progress.
 type watcher struct {
 	opts *Options
 
-	mu    sync.Mutex
-	again map[string]bool // again has the starts that are watched, and whether another look is due.
+	mu      sync.Mutex
+	recheck map[string]bool // recheck is keyed by start and says whether to repeat a pending check.
 }
 
-// left takes in that a request was given up at an upstream.
-func (w *watcher) left(u follower.Upstream) {
+// watch schedules a check of an upstream at which an attempt was abandoned.
+func (w *watcher) watch(u follower.Upstream) {
 	if w.opts.Gone == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, watched := w.again[u.Start()]; watched {
-		w.again[u.Start()] = true
+	if _, watched := w.recheck[u.Start()]; watched {
+		w.recheck[u.Start()] = true
 		return
 	}
-	if w.again == nil {
-		w.again = make(map[string]bool)
+	if w.recheck == nil {
+		w.recheck = make(map[string]bool)
 	}
-	w.again[u.Start()] = false
-	w.later(u)
+	w.recheck[u.Start()] = false
+	w.schedule(u)
 }
 
-func (w *watcher) later(u follower.Upstream) {
-	w.opts.Timer.After(watchTime, func(time.Time) { go w.look(u) })
+func (w *watcher) schedule(u follower.Upstream) {
+	w.opts.Timer.After(checkDelay, func(time.Time) { go w.check(u) })
 }
 
-// look asks whether the upstream has ended. Requests that were given up since the look was
-// due are looked after by another one.
-func (w *watcher) look(u follower.Upstream) {
+// check records that the upstream terminated if it did, and schedules another check if
+// attempts were abandoned after this one was scheduled.
+func (w *watcher) check(u follower.Upstream) {
 	if w.opts.Gone(u.Address) {
 		w.opts.Quarantine.Gone(w.opts.Timer.Now(), u.Start())
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.again[u.Start()] {
-		delete(w.again, u.Start())
+	if !w.recheck[u.Start()] {
+		delete(w.recheck, u.Start())
 		return
 	}
-	w.again[u.Start()] = false
-	w.later(u)
+	w.recheck[u.Start()] = false
+	w.schedule(u)
 }
