--- a/placer/admission_test.go
+++ b/placer/admission_test.go
@@ -14,12 +14,12 @@
 	"amaranthgate.example/amaranthgate/internal/strictjson"
 )
 
-// admissionCase is what is under way at engines, and what comes of a request.
+// admissionCase is the load of the engines and the expected verdict for a request.
 type admissionCase struct {
 	Name    string
-	Engines [][3]int // Engines has for each the requests, the tokens to be read and the memory.
+	Engines [][3]int // Engines has for each the requests, the tokens to prefill and the memory.
 	Tokens  int      // Tokens is the length of the prompt; 0 for 16,800.
-	Resting bool     // Resting tells that the engines could not be reached lately.
+	Resting bool     // Resting reports that the engines are in backoff.
 	Want    Verdict
 }
 
@@ -33,10 +33,10 @@
 		t.Run(c.Name, func(t *testing.T) {
 			p := testPlacer(testView(len(c.Engines), 1))
 			for i, w := range c.Engines {
-				tg := p.of(fmt.Sprint("e", i))
+				tg := p.targetByInstance(fmt.Sprint("e", i))
 				tg.peers = Work{Requests: w[0], Pending: w[1], Memory: w[2]}
 				if c.Resting {
-					tg.unreached(start)
+					tg.markUnreachable(start)
 				}
 			}
 			ask := askFor("x", "own")
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestFits: a prompt is too large if it is larger than every engine's memory.
+// TestFits checks that a prompt does not fit only if it exceeds the memory of every engine.
 func TestFits(t *testing.T) {
 	p := testPlacer(testView(2, 1))
 	assert.Assert(t, p.Fits("engines", &Prompt{Parts: []Part{{"x", 50000}, {"y", 10000}}}))
@@ -57,8 +57,9 @@
 	assert.Assert(t, p.Fits("nobody", &Prompt{Parts: []Part{{"x", 99999}}}))
 }
 
-// TestEndsGiveRoom: each end of a request tells that there is room again.
-func TestEndsGiveRoom(t *testing.T) {
+// TestEndOfRequestNotifiesRoom checks that the first token and the end of a request both call
+// Eased.
+func TestEndOfRequestNotifiesRoom(t *testing.T) {
 	eased := 0
 	p := New(Options{Eased: func() { eased++ }})
 	p.Update(testView(1, 1))
@@ -76,10 +77,9 @@
 	assert.Equal(t, eased, before+2)
 }
 
-// TestTurns: where several hosts have requests waiting for the room of one engine, one
-// after another takes it, each after the word of the one before; without anybody waiting
-// elsewhere nobody holds back.
-func TestTurns(t *testing.T) {
+// TestContendersTakeTurns checks that hosts with waiting requests do not use the same free memory
+// of an engine at once, and that a host without contenders does not wait.
+func TestContendersTakeTurns(t *testing.T) {
 	hosts := []string{"a", "b", "c", "d"}
 	placers := make(map[string]*Placer)
 	for _, h := range hosts {
@@ -99,14 +99,14 @@
 		p.Heard(start.Add(time.Second), "x", Report{Work: room})
 	}
 	chosen := 0
-	for at := time.Duration(0); at < 50*time.Millisecond; at += turnStep {
+	for at := time.Duration(0); at < 50*time.Millisecond; at += turnInterval {
 		now := start.Add(time.Second + at)
 		for _, p := range placers {
 			if _, verdict := p.Choose(now, askFor("x", "own")); verdict == Chosen {
 				chosen++
 			}
 		}
-		for _, h := range hosts { // each has heard of the others before the next turn
+		for _, h := range hosts { // reports arrive before the next turn
 			r := placers[h].Report()
 			for _, p := range placers {
 				if p.opts.Host != h {
--- a/placer/apart_test.go
+++ b/placer/apart_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// apartAsk is askFor with a place apart.
-func apartAsk(key uint64, ends ...string) *Ask {
+// isolatedAsk returns a request that asks for isolation.
+func isolatedAsk(key uint64, ends ...string) *Ask {
 	ask := askFor("shared", fmt.Sprint("own", key))
 	ask.Apart = Apart{Key: key, Ends: ends}
 	return ask
@@ -24,13 +24,13 @@
 	return c.Upstream.ID
 }
 
-// TestApart: hosts that believe different things send copies of a suspect to the same engine,
-// different suspects to different ones, none to an engine that ended under it, and past one
-// that takes nothing to the next in the same order.
-func TestApart(t *testing.T) {
+// TestIsolatedRequests checks that hosts with different load data send copies of a suspect
+// request to the same engine, different suspects to different engines, and none to an engine that
+// ended under it; if the engine takes no requests, to the next in rank.
+func TestIsolatedRequests(t *testing.T) {
 	v := testView(8, 1)
 	a, b := testPlacer(v), testPlacer(v)
-	for range 20 { // b has short prompts of its own under way
+	for range 20 { // b has short prompts in flight
 		ask := askFor("other", "mine")
 		ask.Prompt.Parts = []Part{{"other", 300}, {"mine", 80}}
 		_, verdict := b.Choose(start, ask)
@@ -39,31 +39,32 @@
 	places := make(map[string]int)
 	for key := range uint64(64) {
 		key *= 0x9e3779b97f4a7c15
-		at := chosen(t, a, apartAsk(key, "gone"))
-		assert.Equal(t, chosen(t, b, apartAsk(key, "gone")), at)
+		at := chosen(t, a, isolatedAsk(key, "gone"))
+		assert.Equal(t, chosen(t, b, isolatedAsk(key, "gone")), at)
 		places[at]++
 
-		next := chosen(t, a, apartAsk(key, at))
+		next := chosen(t, a, isolatedAsk(key, at))
 		assert.Assert(t, next != at)
-		excluded := apartAsk(key, "gone")
+		excluded := isolatedAsk(key, "gone")
 		excluded.Exclude = []string{at}
 		assert.Equal(t, chosen(t, a, excluded), next)
 	}
 	assert.Equal(t, len(places), 8)
 
-	at := chosen(t, a, apartAsk(7, "gone"))
-	a.of(at).unreached(start)
-	assert.Equal(t, chosen(t, a, apartAsk(7, "gone")), chosen(t, a, apartAsk(7, at)))
+	at := chosen(t, a, isolatedAsk(7, "gone"))
+	a.targetByInstance(at).markUnreachable(start)
+	assert.Equal(t, chosen(t, a, isolatedAsk(7, "gone")), chosen(t, a, isolatedAsk(7, at)))
 }
 
-// TestNoPlaceApart: a suspect waits where all engines are full, and is told where there is none.
-func TestNoPlaceApart(t *testing.T) {
+// TestNoUpstreamForIsolatedRequest checks that a suspect request waits if all engines are full,
+// and gets None if all are excluded.
+func TestNoUpstreamForIsolatedRequest(t *testing.T) {
 	p := testPlacer(testView(2, 1))
 	for range 6 { // three prompts of 16,800 tokens fill an engine of 60,000
 		_, _ = p.Choose(start, askFor("shared", "own"))
 	}
-	_, verdict := p.Choose(start, apartAsk(1, "gone"))
+	_, verdict := p.Choose(start, isolatedAsk(1, "gone"))
 	assert.Equal(t, verdict, Busy)
-	_, verdict = testPlacer(testView(2, 1)).Choose(start, apartAsk(1, "e0", "e1"))
+	_, verdict = testPlacer(testView(2, 1)).Choose(start, isolatedAsk(1, "e0", "e1"))
 	assert.Equal(t, verdict, None)
 }
--- a/placer/candidates.go
+++ b/placer/candidates.go
@@ -5,94 +5,94 @@
 
 import "slices"
 
-// Figures of the choice among many upstreams. Where hosts are many as well, they
-// hear at once what the hosts of their own cell begin, and late and as a sum what the
-// others do. Engines that belong to the cell are all looked at, as long as these are not too many;
-// of the others a few drawn at random, so that hosts do not all choose the one that was idle a
-// moment ago.
+// Limits of the candidates of a choice. All engines of this host's cell are considered, unless
+// there are too many, and a few others at random, so that hosts do not all choose the one that was
+// idle a moment ago.
 const (
-	fewUpstreams = 32 // fewUpstreams is the number up to which all are looked at.
-	drawn        = 4  // drawn is the number of far upstreams drawn at random.
-	enoughNear   = 4  // enoughNear is the number of near ones from which far ones count as seen badly.
+	maxFullScan   = 32 // maxFullScan is the pool size up to which all upstreams are candidates.
+	remoteSamples = 4  // remoteSamples is the number of candidates drawn from the whole pool.
+	// minCellMembers is the cell size from which engines outside the cell count as having stale
+	// load.
+	minCellMembers = 4
 
-	// mostUpstreams is the number beyond which near ones are drawn as well: what a choice costs
-	// does not grow any more. All of 9,695 took 2.1 ms, a sixth of a small host's second for 15
-	// requests.
-	mostUpstreams = 256
-	// drawnNear is the number of near ones that are drawn then. Where nine in ten engines are
-	// full, 16 hold a free one five times in six; drawnAgain more are drawn where they do not.
-	drawnNear  = 16
-	drawnAgain = 64
-	// fewKeepers is the number of engines that are looked at then because they keep the longest
-	// beginning of the prompt that any does.
-	fewKeepers = 8
+	// maxCellScan is the pool size beyond which members of the cell are sampled too. It bounds the
+	// cost of a choice.
+	maxCellScan = 256
+	// cellSamples is the number of members of the cell that are sampled then; retrySamples more
+	// are drawn from the pool if none of the candidates can begin the request.
+	cellSamples  = 16
+	retrySamples = 64
+	// maxCacheHolders bounds the engines added because they cache the longest prefix of the
+	// prompt.
+	maxCacheHolders = 8
 )
 
-// large tells that only some of the upstreams are looked at.
-func (l *pool) large() bool { return len(l.all) > mostUpstreams }
+// large reports whether only a sample of the upstreams is considered.
+func (l *pool) large() bool { return len(l.all) > maxCellScan }
 
-// candidates returns the upstreams to choose from; the slice is good until the next call.
-func (p *Placer) candidates(in *pool, ask *Ask) []*target {
-	if len(in.all) <= fewUpstreams {
-		return p.these(in.all)
+// candidates returns the upstreams to choose from. The slice is valid until the next call.
+func (p *Placer) candidates(pl *pool, ask *Ask) []*target {
+	if len(pl.all) <= maxFullScan {
+		return p.collectAll(pl.all)
 	}
-	if in.large() && len(in.near) > drawnNear {
-		p.draw(in.near, drawnNear)
+	if pl.large() && len(pl.cell) > cellSamples {
+		p.sample(pl.cell, cellSamples)
 	} else {
-		p.these(in.near)
+		p.collectAll(pl.cell)
 	}
-	for range drawn + len(ask.Exclude) {
-		p.add(p.look(in.all[p.rng.IntN(len(in.all))]))
+	for range remoteSamples + len(ask.Exclude) {
+		p.addCandidate(p.targetOf(pl.all[p.rng.IntN(len(pl.all))]))
 	}
-	if ask.Prompt == nil || !p.direct && len(in.near) >= enoughNear {
-		return p.drawn
+	if ask.Prompt == nil || !p.directReports && len(pl.cell) >= minCellMembers {
+		return p.candidateBuf
 	}
-	known := p.under(ask, p.usual(ask.Prompt.Model))
-	first, second := in.homes(shared(known.keys))
-	p.add(p.look(first))
-	p.add(p.look(second))
-	p.add(known.sources[0].target)
-	if in.large() {
-		p.addKeepers(ask, known)
+	prompt := p.lookup(ask, p.usualWeights(ask.Prompt.Model))
+	first, second := pl.ringOwners(sharedKey(prompt.keys))
+	p.addCandidate(p.targetOf(first))
+	p.addCandidate(p.targetOf(second))
+	p.addCandidate(prompt.sources[0].target)
+	if pl.large() {
+		p.addCacheHolders(ask, prompt)
 	}
-	return p.drawn
+	return p.candidateBuf
 }
 
-// these begins another list of candidates with all of a list.
-func (p *Placer) these(all []*member) []*target {
-	p.drawn = p.drawn[:0]
-	for _, s := range all {
-		p.drawn = append(p.drawn, p.look(s))
+// collectAll resets the candidates to all members of a list.
+func (p *Placer) collectAll(all []*member) []*target {
+	p.candidateBuf = p.candidateBuf[:0]
+	for _, m := range all {
+		p.candidateBuf = append(p.candidateBuf, p.targetOf(m))
 	}
-	return p.drawn
+	return p.candidateBuf
 }
 
-// draw begins another list of candidates with some of a list, drawn at random.
-func (p *Placer) draw(from []*member, n int) []*target {
-	p.drawn = p.drawn[:0]
+// sample resets the candidates to members of a list drawn at random.
+func (p *Placer) sample(from []*member, n int) []*target {
+	p.candidateBuf = p.candidateBuf[:0]
 	for range min(n, len(from)) {
-		p.add(p.look(from[p.rng.IntN(len(from))]))
+		p.addCandidate(p.targetOf(from[p.rng.IntN(len(from))]))
 	}
-	return p.drawn
+	return p.candidateBuf
 }
 
-// add adds a candidate, once.
-func (p *Placer) add(t *target) {
-	if t != nil && !slices.Contains(p.drawn, t) {
-		p.drawn = append(p.drawn, t)
+// addCandidate adds a candidate unless it is already there.
+func (p *Placer) addCandidate(t *target) {
+	if t != nil && !slices.Contains(p.candidateBuf, t) {
+		p.candidateBuf = append(p.candidateBuf, t)
 	}
 }
 
-// addKeepers adds engines that keep as much of a prompt as any does: the first of them may be busy.
-func (p *Placer) addKeepers(ask *Ask, known *chained) {
-	if known.sources[0].parts == 0 {
+// addCacheHolders adds engines that cache the longest known prefix of a prompt: the best of them
+// may be busy.
+func (p *Placer) addCacheHolders(ask *Ask, prompt *versionedPrompt) {
+	if prompt.sources[0].parts == 0 {
 		return
 	}
-	of := p.keepers[known.keys[known.sources[0].parts-1]]
-	from := p.anywhere(len(of))
-	for i := range min(fewKeepers, len(of)) {
-		if t := of[(from+i)%len(of)]; t.listed && t.upstream.Service == ask.Service {
-			p.add(t)
+	holders := p.cacheIndex[prompt.keys[prompt.sources[0].parts-1]]
+	from := p.randomIndex(len(holders))
+	for i := range min(maxCacheHolders, len(holders)) {
+		if t := holders[(from+i)%len(holders)]; t.listed && t.upstream.Service == ask.Service {
+			p.addCandidate(t)
 		}
 	}
 }
--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -12,10 +12,10 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// zoneView has engines in three zones, of which the placer's own is the first.
+// zoneView returns a view of n engines in three zones.
 func zoneView(n int) *follower.View {
 	i := 0
-	return with(testView(n, 1), func(u *follower.Upstream) {
+	return changeAll(testView(n, 1), func(u *follower.Upstream) {
 		u.AvailabilityZone = fmt.Sprint("zone", i%3)
 		i++
 	})
@@ -28,9 +28,9 @@
 	return p
 }
 
-// TestCandidatesAreBounded: a choice looks at no more upstreams among 10,000 than among 300.
+// TestCandidatesAreBounded checks that the number of candidates does not grow with the pool.
 func TestCandidatesAreBounded(t *testing.T) {
-	const most = drawnNear + drawn + 3 + fewKeepers
+	const most = cellSamples + remoteSamples + 3 + maxCacheHolders
 	for _, n := range []int{300, 10000} {
 		p := zonePlacer(n)
 		for i := range 200 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestFewCandidatesFindIdleEngines: half of 900 engines read long prompts. No request goes to one
-// of these, and what an idle engine keeps of a prompt is used.
+// TestFewCandidatesFindIdleEngines checks that no request goes to one of the half of the engines
+// with a backlog, and that the cache of an idle engine is used.
 func TestFewCandidatesFindIdleEngines(t *testing.T) {
 	const n = 900
 	p := zonePlacer(n)
@@ -62,13 +62,13 @@
 		c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i)))
 		assert.Equal(t, verdict, Chosen)
 		assert.Assert(t, work[c.Upstream.Start()].Requests == 0, c.Upstream.ID)
-		assert.Assert(t, c.Basis.Missing <= 4000, "%d tokens are read again", c.Basis.Missing)
+		assert.Assert(t, c.Basis.Missing <= 4000, "%d tokens are prefilled again", c.Basis.Missing)
 		c.Ticket.Done(start, ResultServed)
 	}
 }
 
-// TestFullPoolIsBusy: where all engines are full, a request waits; where one of many in a hundred
-// has room, it is found.
+// TestFullPoolIsBusy checks that requests wait while all engines are full, and that a minority of
+// engines with room is found.
 func TestFullPoolIsBusy(t *testing.T) {
 	const n = 900
 	p := zonePlacer(n)
@@ -96,7 +96,8 @@
 	assert.Equal(t, chosen, tries)
 }
 
-// TestPoolsFollowUpstreams: pools, rings and keepers have just what is there, after any changes.
+// TestPoolsFollowUpstreams checks that pools, rings and the cache index match the view after
+// arbitrary changes.
 func TestPoolsFollowUpstreams(t *testing.T) {
 	p := zonePlacer(60)
 	v := zoneView(60)
@@ -133,35 +134,35 @@
 	t.Helper()
 	assert.Equal(t, len(p.members), v.Upstreams.Len())
 	for key, x := range p.targets {
-		assert.Assert(t, p.members[x.upstream.ID] == x.member && x.key == key && x.member.target == x)
+		assert.Assert(t, p.members[x.upstream.ID] == x.member && x.instance == key && x.member.target == x)
 	}
-	for service, in := range p.pools {
+	for service, pl := range p.pools {
 		want := make(map[string]bool)
 		for _, id := range v.Taking(service) {
 			want[id] = true
 		}
-		assert.Equal(t, len(in.all), len(want))
-		in.settle()
-		assert.Equal(t, len(in.ring), len(want))
-		for i, x := range in.all {
-			assert.Assert(t, want[x.upstream.ID] && x.place == i)
+		assert.Equal(t, len(pl.all), len(want))
+		pl.mergeAdded()
+		assert.Equal(t, len(pl.ring), len(want))
+		for i, x := range pl.all {
+			assert.Assert(t, want[x.upstream.ID] && x.index == i)
 		}
-		for i, x := range in.near {
-			assert.Assert(t, x.ours && x.nearPlace == i && want[x.upstream.ID])
+		for i, x := range pl.cell {
+			assert.Assert(t, x.inOwnCell && x.cellIndex == i && want[x.upstream.ID])
 		}
-		for i, x := range in.ring[min(1, len(in.ring)):] {
-			assert.Assert(t, in.ring[i].hash <= x.hash)
+		for i, x := range pl.ring[min(1, len(pl.ring)):] {
+			assert.Assert(t, pl.ring[i].hash <= x.hash)
 		}
 	}
 	parts := 0
-	for key, of := range p.keepers {
-		for _, x := range of {
-			assert.Assert(t, p.targets[x.key] == x && x.kept.has(key))
+	for key, holders := range p.cacheIndex {
+		for _, x := range holders {
+			assert.Assert(t, p.targets[x.instance] == x && x.cache.has(key))
 			parts++
 		}
 	}
 	for _, x := range p.targets {
-		parts -= len(x.kept.parts)
+		parts -= len(x.cache.parts)
 	}
 	assert.Equal(t, parts, 0)
 }
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -11,88 +11,94 @@
 	"amaranthgate.example/amaranthgate/renewer"
 )
 
-// Ask is what placement must know of a request.
+// Ask describes a request for the choice of an upstream.
 type Ask struct {
 	Service string
 	Prompt  *Prompt // Prompt is nil for plain services.
-	// SaltOf returns the text that sets apart context of a weight version.
+	// SaltOf returns the cache salt of a weight version.
 	SaltOf  func(weights uint64) string
 	Exclude []string
-	// Apart is set for a request under which upstreams have ended.
+	// Apart is set for a request during which upstreams have ended.
 	Apart Apart
-	// Homes are the lists of regions that may serve the request; each of them binds.
+	// Homes are lists of regions that may serve the request. Each list that is not empty applies.
 	Homes [][]string
-	// Due is when the first byte must be there to be on time; if it is zero, the request
-	// waits for no reading of another one.
+	// Due is when the first byte must arrive to be on time. If it is zero, the request does not
+	// wait for another request's prefill.
 	Due time.Time
-	// Wait is set if Choose says Awaits.
+	// Wait is set if Choose returns Awaits.
 	Wait Wait
-	// Objective is the time to the first byte in which an answer counts as on time; 0
-	// if there is none.
+	// Objective is the target time to the first byte; 0 if there is none.
 	Objective time.Duration
 
-	now    time.Time
-	size   int        // size are the tokens that the request takes of an engine's memory.
-	round  uint64     // round counts the choices that were tried for the request.
-	one    [1]chained // one is the room for chains in the usual case.
-	chains []chained  // chains has the prompt's keys by weight version, as far as they were needed.
+	now        time.Time
+	size       int                // size is the memory that the request takes at an engine, in tokens.
+	round      uint64             // round is incremented by each call of Choose.
+	versionBuf [1]versionedPrompt // versionBuf avoids an allocation for a single weight version.
+	versions   []versionedPrompt  // versions has the prompt's keys by weight version, filled on demand.
 }
 
-// chained is a prompt as it is known under one weight version.
-type chained struct {
+// versionedPrompt is a prompt with its keys and cache locations under one weight version.
+type versionedPrompt struct {
 	weights uint64
-	round   uint64 // round is the choice for which sources and stored were looked up.
+	round   uint64 // round is the round of the Ask that sources and stores were looked up in.
 	salt    string
 	keys    []PartKey
-	few     [4]PartKey // few is the room for keys in the usual case.
+	keyBuf  [4]PartKey // keyBuf avoids an allocation for short chains.
 	sources sources
-	stored  []*store // stored has for each part the store that holds it, up to the first that none holds.
+	// stores has for each leading part the store that holds it, up to the first part that none
+	// holds.
+	stores []*store
 }
 
-// Basis is what a choice was based on.
+// Basis is the state and the estimates that a choice was based on.
 type Basis struct {
-	Estimate time.Duration // Estimate is the time to the first token or to a slot, with penalties.
-	Work     Work          // Work was under way at the upstream, of all hosts.
-	Missing  int           // Missing are prompt tokens to be read there.
-	Alone    int           // Alone are prompt tokens of the last part, which no other request begins with.
-	Moved    int           // Moved are prompt tokens to be fetched.
-	Behind   time.Duration // Behind is the estimated time to read what waits there before it.
-	Reading  time.Duration // Reading is that of reading what is missing.
-	Fetching time.Duration // Fetching is that of its transfers.
-	Replaced bool          // Replaced tells that a newer weight version than the upstream's was named.
+	// Estimate is the cost of the choice: the time to the first token or to a slot, with
+	// penalties.
+	Estimate time.Duration
+	Work     Work          // Work is that of all hosts at the upstream.
+	Missing  int           // Missing is the number of prompt tokens to prefill.
+	Alone    int           // Alone is the number of tokens of the last part, which no other request shares.
+	Moved    int           // Moved is the number of prompt tokens to fetch.
+	Behind   time.Duration // Behind is the estimated prefill time of the upstream's backlog.
+	Reading  time.Duration // Reading is the estimated prefill time of the missing tokens.
+	Fetching time.Duration // Fetching is the estimated time of the transfers.
+	Replaced bool          // Replaced reports that a newer weight version than the upstream's was named.
 	Stored   int           // Stored is the number of leading parts that stores hold.
-	Saved    int           // Saved is the number of parts that are to be saved to stores.
-	Shared   PartKey       // Shared names the deepest part that other requests may have; 0 if there is none.
-	PeersAge time.Duration // PeersAge is the age of the oldest word of another host that was counted.
+	Saved    int           // Saved is the number of parts to save to stores.
+	// Shared is the key of the last part that other requests may share; 0 if there is none.
+	Shared   PartKey
+	PeersAge time.Duration // PeersAge is the age of the oldest report of another host that was counted.
 }
 
-// Choice is an upstream and what to tell it.
+// Choice is the chosen upstream with its instructions.
 type Choice struct {
 	Upstream follower.Upstream
-	Weights  uint64   // Weights is the version that the upstream is believed to have.
-	Fetch    []string // Fetch has for each part the address that keeps it, or "".
-	Until    int64    // Until bounds the fetches from stores, in milliseconds of the upstreams' clock; 0 if there are none.
-	Save     []string // Save has for each part the store to save it to, or "".
-	Basis    Basis
-	Ticket   *Ticket
+	Weights  uint64   // Weights is the weight version that the upstream is believed to have.
+	Fetch    []string // Fetch has for each part the address to fetch it from, or "".
+	// Until is the deadline of fetches from stores, in milliseconds of the upstreams' clock; 0 if
+	// there are none.
+	Until  int64
+	Save   []string // Save has for each part the address of the store to save it to, or "".
+	Basis  Basis
+	Ticket *Ticket
 }
 
-// Verdict says what came of a choice.
+// Verdict is the outcome of a choice.
 type Verdict string
 
 const (
-	// Chosen says that the request is to be sent.
+	// Chosen means that an upstream was chosen for the request.
 	Chosen Verdict = "Chosen"
-	// Busy says that no upstream can begin the request now, but one will.
+	// Busy means that no upstream can begin the request now, but one will.
 	Busy Verdict = "Busy"
-	// Awaits says that an engine is reading what the request begins with, and that it had
-	// better wait for that.
+	// Awaits means that another request's prefill covers a leading part of the prompt and that the
+	// request should wait for it.
 	Awaits Verdict = "Awaits"
-	// None says that the service has no upstream for the request.
+	// None means that the service has no upstream for the request.
 	None Verdict = "None"
 )
 
-// Choose picks an upstream that can begin the request and counts it as under way there.
+// Choose picks an upstream that can begin the request and records the request as in flight there.
 func (p *Placer) Choose(now time.Time, ask *Ask) (Choice, Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,14 +107,14 @@
 	if ask.Prompt != nil {
 		ask.size = ask.Prompt.Tokens() + ask.Prompt.Output
 	}
-	if ask.Wait = p.wait(now, ask); ask.Wait.Read != nil {
+	if ask.Wait = p.wait(now, ask); ask.Wait.Done != nil {
 		return Choice{}, Awaits
 	}
 	best, estimate, verdict := p.best(now, ask)
 	if verdict != Chosen {
 		return Choice{}, verdict
 	}
-	if best.pause > 0 {
+	if best.backoff > 0 {
 		best.probing = true
 	}
 	c := Choice{Upstream: *best.upstream, Basis: Basis{Estimate: estimate, Work: best.work(), PeersAge: p.peersAge(now)}}
@@ -118,57 +124,57 @@
 		p.plan(now, ask, best, &c, tk)
 	}
 	tk.fetching = c.Basis.Moved > 0
-	tk.expected = best.takes(now, c.Basis.Behind+c.Basis.Reading) + c.Basis.Fetching
+	tk.expected = best.scaled(now, c.Basis.Behind+c.Basis.Reading) + c.Basis.Fetching
 	if best.engine != nil && ask.Prompt != nil {
 		running := time.Duration(c.Basis.Work.Requests) * runningPenalty
-		tk.common, tk.fetchTime = firstToken+running+c.Basis.Behind+c.Basis.Reading, c.Basis.Fetching
+		tk.baseline, tk.fetchTime = firstTokenTime+running+c.Basis.Behind+c.Basis.Reading, c.Basis.Fetching
 	}
-	p.begin(now, tk, tk.reads)
+	p.startPrefills(now, tk, tk.firstPrefilled)
 	best.own.add(tk.work)
-	best.noteSent(now)
-	p.changed[best], p.working[best] = struct{}{}, struct{}{}
+	best.recordSent(now)
+	p.changed[best], p.activeTargets[best] = struct{}{}, struct{}{}
 	best.tickets[tk] = struct{}{}
-	if tk.work.Pending+tk.moved.Pending >= urgentTokens && p.opts.Urgent != nil {
+	if tk.work.Pending+tk.transfer.Pending >= urgentTokens && p.opts.Urgent != nil {
 		p.opts.Urgent()
 	}
 	c.Ticket = tk
 	return c, Chosen
 }
 
-// shortlist is what a look at the candidates of a request has found.
+// shortlist collects the candidates of a choice by kind.
 type shortlist struct {
-	best  *target       // best is the one with the least cost that can begin the request.
-	least time.Duration // least is the cost of best.
-	busy  bool          // busy tells that another one will be able to.
-	last  *target       // last is one that is loading or has expired weights.
-	spare *target       // spare is the suspect that rests for the shortest time.
+	best      *target       // best has the least cost of those that can begin the request.
+	leastCost time.Duration // leastCost is the cost of best.
+	busy      bool          // busy reports that a candidate will be able to begin the request later.
+	fallback  *target       // fallback is a candidate that is loading weights or has expired ones.
+	suspect   *target       // suspect is the suspect candidate with the earliest end of its backoff.
 }
 
-// best returns the target with the least cost among those that can begin the request,
-// and the cost. It begins anywhere among the candidates: hosts that know nothing yet see
-// all of them alike, and must not all take the first.
+// best returns the candidate with the least cost among those that can begin the request, and its
+// cost. The scan starts at a random candidate, so that hosts with equal knowledge do not all choose
+// the same one.
 func (p *Placer) best(now time.Time, ask *Ask) (*target, time.Duration, Verdict) {
-	in := p.pools[ask.Service]
-	if in == nil {
+	pl := p.pools[ask.Service]
+	if pl == nil {
 		return nil, 0, None
 	}
-	if !in.large() && !p.anyBegins(in, ask) {
+	if !pl.large() && !p.anyAdmits(pl, ask) {
 		return nil, 0, Busy
 	}
-	if ask.Apart.asked() {
-		return p.apart(now, ask)
+	if ask.Apart.requested() {
+		return p.chooseIsolated(now, ask)
 	}
 	var s shortlist
-	p.weigh(now, p.candidates(in, ask), ask, &s)
-	if s.best == nil && in.large() {
-		p.weigh(now, p.draw(in.all, drawnAgain), ask, &s)
+	p.considerAll(now, p.candidates(pl, ask), ask, &s)
+	if s.best == nil && pl.large() {
+		p.considerAll(now, p.sample(pl.all, retrySamples), ask, &s)
 	}
-	return p.settle(&s, ask)
+	return p.pick(&s, ask)
 }
 
-// weigh puts candidates on the list.
-func (p *Placer) weigh(now time.Time, all []*target, ask *Ask, s *shortlist) {
-	for i, from := 0, p.anywhere(len(all)); i < len(all); i++ {
+// considerAll adds the eligible candidates to the shortlist.
+func (p *Placer) considerAll(now time.Time, all []*target, ask *Ask, s *shortlist) {
+	for i, from := 0, p.randomIndex(len(all)); i < len(all); i++ {
 		t := all[(from+i)%len(all)]
 		if p.eligible(t, ask) {
 			p.consider(now, t, ask, s)
@@ -176,50 +182,50 @@
 	}
 }
 
-// eligible tells that a request may go to an upstream at all.
+// eligible reports whether a request may go to an upstream at all.
 func (p *Placer) eligible(t *target, ask *Ask) bool {
-	return !slices.Contains(ask.Exclude, t.upstream.ID) && p.home(ask, t.upstream.AvailabilityZone)
+	return !slices.Contains(ask.Exclude, t.upstream.ID) && p.allowedIn(ask, t.upstream.AvailabilityZone)
 }
 
-// consider puts a candidate where it belongs on the list.
+// consider adds a candidate to the shortlist.
 func (p *Placer) consider(now time.Time, t *target, ask *Ask, s *shortlist) {
 	switch {
 	case p.rationed(now, t):
 		s.busy = true
 	case t.suspect(now):
-		if s.spare == nil || t.suspectUntil.Before(s.spare.suspectUntil) {
-			s.spare = t
+		if s.suspect == nil || t.suspectUntil.Before(s.suspect.suspectUntil) {
+			s.suspect = t
 		}
 	case t.phase == renewer.PhaseLoading || p.expired(now, t, ask):
-		s.last = t
-	case !p.begins(t, ask):
+		s.fallback = t
+	case !p.admits(t, ask):
 		s.busy = true
 	default:
-		if cost := p.cost(now, t, ask); s.best == nil || cost < s.least {
-			s.best, s.least = t, cost
+		if cost := p.cost(now, t, ask); s.best == nil || cost < s.leastCost {
+			s.best, s.leastCost = t, cost
 		}
 	}
 }
 
-// settle takes the best of the list; what loads, has expired weights or is suspected only
-// if there is nothing else to wait for.
-func (p *Placer) settle(s *shortlist, ask *Ask) (*target, time.Duration, Verdict) {
+// pick returns the best candidate of the shortlist. One that is loading, has expired weights or is
+// suspect is returned only if no other will be able to begin the request.
+func (p *Placer) pick(s *shortlist, ask *Ask) (*target, time.Duration, Verdict) {
 	switch {
 	case s.best != nil:
-		return s.best, s.least, Chosen
+		return s.best, s.leastCost, Chosen
 	case s.busy:
 		return nil, 0, Busy
-	case s.last != nil && p.begins(s.last, ask):
-		return s.last, 0, Chosen
-	case s.last != nil:
+	case s.fallback != nil && p.admits(s.fallback, ask):
+		return s.fallback, 0, Chosen
+	case s.fallback != nil:
 		return nil, 0, Busy
-	case s.spare != nil:
-		return s.spare, 0, Chosen
+	case s.suspect != nil:
+		return s.suspect, 0, Chosen
 	}
 	return nil, 0, None
 }
 
-func (p *Placer) anywhere(n int) int {
+func (p *Placer) randomIndex(n int) int {
 	if n == 0 {
 		return 0
 	}
--- a/placer/cold.go
+++ b/placer/cold.go
@@ -10,50 +10,44 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Allowance of cold upstreams. An upstream that has just started, or whose availability
-// zone is taken back, breaks under more requests a second than its service allows. All
-// hosts together must stay under that, also those that are cut off from the others. So
-// each has a fixed part, without asking anybody: the whole divided by the hosts that may
-// send, or that lately might, and what is left over given to the first in rank for the
-// upstream.
+// Rate limit of cold upstreams. An upstream that has just started, or whose availability zone takes
+// traffic again, bears only a limited number of requests a second from all hosts together. Since
+// hosts may be partitioned, each has a fixed share: the limit divided by the number of hosts that
+// may send, with the remainder going to the first in rank for the upstream.
 const (
-	// coldPart is the part of the allowance that is given out. The rest is for hosts that
-	// were just called in and that others do not count yet: 9 of 35 requests a second, for
-	// as many hosts.
-	coldPart = 0.75
-	// coldWindow is the time over which the allowance is counted: the operators' second,
-	// and what a request may stay at its host after its choice.
+	// coldShare is the share of the limit that is divided. The rest covers hosts that have just
+	// become active and that others do not count yet.
+	coldShare = 0.75
+	// coldWindow is the time over which requests are counted: the limit's second, and the delay
+	// between a choice and the request's arrival.
 	coldWindow = 1300 * time.Millisecond
-	// coldPenalty stands for the slowness of a cold upstream, by a factor that nobody
-	// tells.
+	// coldPenalty is the cost added for a cold upstream, which is slower by an unknown factor.
 	coldPenalty = 50 * time.Millisecond
-	// coldGuard is how long an upstream that answers again after it could not be reached
-	// counts as cold: it may have started anew, and its entry, written every 1.2 s, comes
-	// later than its first answer.
-	coldGuard = 2 * time.Second
+	// coldRecovery is how long an upstream counts as cold after it is reachable again: it may have
+	// restarted, and its new record arrives later than its first answer.
+	coldRecovery = 2 * time.Second
 )
 
-// ColdLimit is the operators' bound for all hosts together, beside what the configuration
-// allows for a service.
+// ColdLimit adjusts the limit that the configuration sets for a service's cold upstreams.
 type ColdLimit struct {
-	Overage float64 // Overage multiplies the requests a second that a cold upstream bears.
-	Slack   float64 // Slack is added to them.
+	Overage float64 // Overage multiplies the requests a second that a cold upstream may get.
+	Slack   float64 // Slack is added to them, in requests a second.
 }
 
-// perSecond returns how many requests a second of all hosts together are given out.
-func (l ColdLimit) perSecond(bears float64) int {
-	return int(coldPart * (bears*max(l.Overage, 1) + l.Slack))
+// perSecond returns how many requests a second all hosts together may send.
+func (l ColdLimit) perSecond(limit float64) int {
+	return int(coldShare * (limit*max(l.Overage, 1) + l.Slack))
 }
 
-// sharers are the hosts that the allowances of cold upstreams are divided among.
-type sharers struct {
-	hosts []uint64 // hosts has a hash of each; empty as long as they are not known.
-	round int      // round counts the changes.
+// coldHosts are the hosts that the limits of cold upstreams are divided among.
+type coldHosts struct {
+	hosts   []uint64 // hosts has the hash of each host's name; empty until they are known.
+	version int      // version is incremented by each change.
 }
 
-// SetSharers names the hosts that may send to cold upstreams now, or lately might: one
-// that is cut off from the others still sends. A host that is not among them sends
-// nothing there, nor does one that does not know the others yet.
+// SetSharers sets the hosts that may send to cold upstreams now or could until recently, since a
+// partitioned host still sends. A host that is not among them, or does not know them yet, sends
+// nothing to cold upstreams.
 func (p *Placer) SetSharers(names []string) {
 	hashes := make([]uint64, len(names))
 	for i, name := range names {
@@ -61,47 +55,46 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if slices.Equal(p.sharers.hosts, hashes) {
+	if slices.Equal(p.coldHosts.hosts, hashes) {
 		return
 	}
-	p.sharers = sharers{hosts: hashes, round: p.sharers.round + 1}
-	p.eased()
+	p.coldHosts = coldHosts{hosts: hashes, version: p.coldHosts.version + 1}
+	p.notifyRoom()
 }
 
-// share returns how many requests this host may send to an upstream within a second while
-// it is cold.
+// share returns how many requests a second this host may send to an upstream while it is cold.
 func (p *Placer) share(t *target) int {
-	if t.shareRound != p.sharers.round {
-		t.share, t.shareRound = p.sharers.of(p.host, t.hash, p.opts.Cold.perSecond(t.bears)), p.sharers.round
+	if t.shareVersion != p.coldHosts.version {
+		t.share, t.shareVersion = p.coldHosts.share(p.hostHash, t.hash, p.opts.Cold.perSecond(t.coldLimit)), p.coldHosts.version
 	}
 	return t.share
 }
 
-// of returns a host's part of a number of requests to an upstream.
-func (s *sharers) of(host, upstream uint64, total int) int {
+// share returns a host's share of a number of requests to an upstream.
+func (s *coldHosts) share(host, upstream uint64, total int) int {
 	if !slices.Contains(s.hosts, host) {
 		return 0
 	}
-	place, own := 0, rendezvous(PartKey(host), upstream)
+	position, own := 0, rendezvous(PartKey(host), upstream)
 	for _, h := range s.hosts {
 		if rendezvous(PartKey(h), upstream) > own {
-			place++
+			position++
 		}
 	}
 	share := total / len(s.hosts)
-	if place < total%len(s.hosts) {
+	if position < total%len(s.hosts) {
 		share++
 	}
 	return share
 }
 
-// coldUntil returns until when an upstream must be taken for cold.
+// coldUntil returns until when an upstream counts as cold.
 func (p *Placer) coldUntil(t *target) time.Time {
 	until := t.upstream.ColdUntil
-	if back, ok := p.returned[t.upstream.AvailabilityZone]; ok {
-		until = later(until, back.Add(t.coldFor)) // evacuated upstreams come back cold
+	if back, ok := p.zoneReturns[t.upstream.AvailabilityZone]; ok {
+		until = later(until, back.Add(t.coldDuration)) // upstreams of an evacuated zone come back cold
 	}
-	return later(until, t.guarded)
+	return later(until, t.maybeColdUntil)
 }
 
 func later(a, b time.Time) time.Time {
@@ -111,12 +104,12 @@
 	return a
 }
 
-// cold tells that an upstream bears only so many requests.
+// cold reports whether the rate limit for cold upstreams applies.
 func (p *Placer) cold(now time.Time, t *target) bool {
-	return t.bears > 0 && now.Before(p.coldUntil(t))
+	return t.coldLimit > 0 && now.Before(p.coldUntil(t))
 }
 
-// rationed tells that a cold upstream must get no more of this host for the moment.
+// rationed reports whether this host has used up its share of a cold upstream for now.
 func (p *Placer) rationed(now time.Time, t *target) bool {
 	if !p.cold(now, t) {
 		return false
@@ -130,9 +123,9 @@
 	return recent >= p.share(t)
 }
 
-// noteSent remembers that a request is sent, for upstreams that may turn cold at any moment.
-func (t *target) noteSent(now time.Time) {
-	if t.bears == 0 {
+// recordSent records the time of a request, for upstreams that may turn cold at any moment.
+func (t *target) recordSent(now time.Time) {
+	if t.coldLimit == 0 {
 		return
 	}
 	old := 0
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -16,13 +16,13 @@
 	"amaranthgate.example/amaranthgate/matcher"
 )
 
-// coldView has engines that bear 20 requests a second while they are cold.
+// coldView returns a view of engines that accept 20 requests a second while they are cold.
 func coldView(n int) *follower.View {
 	v := testView(n, 1)
 	engine := &matcher.Engine{Slots: 1000, CapacityTokens: 1 << 30, BytesPerToken: 18432, LinkMbps: 370000}
 	v.Table = matcher.New(matcher.Parts{Services: []matcher.Service{{Name: "engines", ColdFor: 3 * time.Second, ColdPerSecond: 20, Engine: engine}}})
 	i := -1
-	return with(v, func(u *follower.Upstream) {
+	return changeAll(v, func(u *follower.Upstream) {
 		i++
 		u.AvailabilityZone = fmt.Sprint("zone", i)
 	})
@@ -38,36 +38,36 @@
 	return &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{fmt.Sprint("shared", n), 5}, {"own", 8}}}}
 }
 
-// hostNames returns the names of the hosts in [from, to); of one host if to is not given.
-func hostNames(span []int) []string {
+// hostNames returns the names of the hosts in [from, to), or of one host if only from is given.
+func hostNames(interval []int) []string {
 	var out []string
-	switch len(span) {
+	switch len(interval) {
 	case 1:
-		out = append(out, fmt.Sprint("host", span[0]))
+		out = append(out, fmt.Sprint("host", interval[0]))
 	case 2:
-		for i := span[0]; i < span[1]; i++ {
+		for i := interval[0]; i < interval[1]; i++ {
 			out = append(out, fmt.Sprint("host", i))
 		}
 	}
 	return out
 }
 
-// TestAllowanceOfColdEngine: all hosts together stay under what a cold engine bears,
-// whatever they know of each other, and use most of it.
-func TestAllowanceOfColdEngine(t *testing.T) {
+// TestColdRateLimit checks that all hosts together stay below the limit of a cold engine, even if
+// they know of different hosts, and use most of it.
+func TestColdRateLimit(t *testing.T) {
 	text, err := os.ReadFile("testdata/cold.jsonc")
 	assert.NilError(t, err)
 	var cases []struct {
 		Name   string
 		Groups []struct{ Hosts, Count []int }
-		Least  int // Least is how many requests a second the engine gets at least.
+		Least  int // Least and Most bound the requests a second of the engine.
 		Most   int
 	}
 	_, faults := strictjson.Decode(text, &cases)
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
-			v := withFirst(coldView(1), func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Hour) })
+			v := changeFirst(coldView(1), func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Hour) })
 			var placers []*Placer
 			for _, g := range c.Groups {
 				for _, name := range hostNames(g.Hosts) {
@@ -85,15 +85,15 @@
 					}
 				}
 			}
-			assert.Assert(t, busiest(sent) <= c.Most, "%d in a second", busiest(sent))
+			assert.Assert(t, maxPerSecond(sent) <= c.Most, "%d in a second", maxPerSecond(sent))
 			got := int(float64(len(sent)) / length.Seconds())
 			assert.Assert(t, got >= c.Least, "%d a second", got)
 		})
 	}
 }
 
-// busiest returns the largest number of times within a second.
-func busiest(times []time.Time) int {
+// maxPerSecond returns the largest number of times within a second.
+func maxPerSecond(times []time.Time) int {
 	most := 0
 	for i, from := 0, 0; i < len(times); i++ {
 		for times[i].Sub(times[from]) >= time.Second {
@@ -104,8 +104,8 @@
 	return most
 }
 
-// choices counts the requests that a host may send to an upstream at one moment.
-func choices(p *Placer, now time.Time) int {
+// countChosen returns how many requests a host may send at one moment, up to 100.
+func countChosen(p *Placer, now time.Time) int {
 	n := 0
 	for n < 100 {
 		if _, verdict := p.Choose(now, shortAsk(n)); verdict != Chosen {
@@ -116,9 +116,9 @@
 	return n
 }
 
-// TestTurnsCold: an engine counts as cold as long as its entry says, for a while after its
-// zone was taken back, and after it answers again although it could not be reached.
-func TestTurnsCold(t *testing.T) {
+// TestColdPeriods checks that an engine counts as cold until its ColdUntil, for a while after its
+// zone takes traffic again, and after it is reachable again.
+func TestColdPeriods(t *testing.T) {
 	fresh := func() (*follower.View, *Placer) {
 		v := coldView(1)
 		p := coldPlacer("host0", v)
@@ -128,34 +128,34 @@
 	part := ColdLimit{Overage: 1.5, Slack: 5}.perSecond(20)
 
 	_, p := fresh()
-	assert.Equal(t, choices(p, start), 100, "a warm one takes any number")
+	assert.Equal(t, countChosen(p, start), 100, "a warm engine is not limited")
 
 	v, p := fresh()
-	p.Update(withFirst(v, func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Second) }))
-	assert.Equal(t, choices(p, start), part)
-	assert.Equal(t, choices(p, start.Add(time.Second)), 100)
+	p.Update(changeFirst(v, func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Second) }))
+	assert.Equal(t, countChosen(p, start), part)
+	assert.Equal(t, countChosen(p, start.Add(time.Second)), 100)
 
 	v, p = fresh()
 	returned := *v
 	returned.Returned = map[string]time.Time{"zone0": start}
 	p.Update(&returned)
-	assert.Equal(t, choices(p, start.Add(2*time.Second)), part)
-	assert.Equal(t, choices(p, start.Add(3*time.Second)), 100)
+	assert.Equal(t, countChosen(p, start.Add(2*time.Second)), part)
+	assert.Equal(t, countChosen(p, start.Add(3*time.Second)), 100)
 
 	_, p = fresh()
 	c, _ := p.Choose(start, askFor("x", "own"))
 	c.Ticket.Done(start, ResultUnreached)
-	now := start.Add(firstPause)
+	now := start.Add(initialBackoff)
 	c, verdict := p.Choose(now, askFor("x", "own"))
 	assert.Equal(t, verdict, Chosen)
 	serve(p, now, c)
-	assert.Equal(t, choices(p, now.Add(time.Millisecond))+2, part, "the two before count")
-	assert.Equal(t, choices(p, now.Add(coldGuard)), 100)
+	assert.Equal(t, countChosen(p, now.Add(time.Millisecond))+2, part, "the two earlier requests count")
+	assert.Equal(t, countChosen(p, now.Add(coldRecovery)), 100)
 }
 
-// TestWarmGoesFirst: a cold engine is taken when the warm ones have work to do.
-func TestWarmGoesFirst(t *testing.T) {
-	v := withFirst(coldView(2), func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Hour) })
+// TestWarmEnginesArePreferred checks that a cold engine is used only if the warm ones are loaded.
+func TestWarmEnginesArePreferred(t *testing.T) {
+	v := changeFirst(coldView(2), func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Hour) })
 	p := coldPlacer("host0", v)
 	p.SetSharers([]string{"host0"})
 	first, _ := p.Choose(start, askFor("x", "own"))
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -9,54 +9,59 @@
 	"amaranthgate.example/amaranthgate/renewer"
 )
 
-// Figures of the estimate. Rates are assumed to be alike for all engines of a
-// service; only the order of the estimates counts.
+// Parameters of the cost estimate. Rates are assumed to be the same for all engines of a service;
+// only the order of the estimates matters.
 const (
-	readPerMilli   = 42.0                   // readPerMilli are prompt tokens read in a millisecond, between the sheets' 36.7 and 48.2.
-	farPenalty     = 4 * time.Millisecond   // farPenalty weighs bytes between availability zones.
-	blindPenalty   = 60 * time.Millisecond  // blindPenalty stands for what hosts of other cells have begun there unheard: without it one short request in three met a long prompt of 100 to 300 ms.
-	affinityBonus  = 30 * time.Millisecond  // affinityBonus makes hosts that know nothing guess alike.
-	failPenalty    = 300 * time.Millisecond // failPenalty weighs the recent share of failures.
-	transferFixed  = 3 * time.Millisecond   // transferFixed is what any transfer costs besides its bytes.
-	runningPenalty = 2 * time.Millisecond   // runningPenalty is what each running request slows the others.
-	loadPenalty    = 600 * time.Millisecond // loadPenalty is what a load takes, for requests that would wait for it.
+	// prefillTokensPerMilli is the prefill rate, in tokens a millisecond.
+	prefillTokensPerMilli = 42.0
+	// crossZonePenalty is the cost of traffic between availability zones.
+	crossZonePenalty = 4 * time.Millisecond
+	// staleLoadPenalty stands for work of other cells that has not been reported yet.
+	staleLoadPenalty = 60 * time.Millisecond
+	// affinityBonus makes hosts without knowledge of a prompt prefer the same engines.
+	affinityBonus    = 30 * time.Millisecond
+	failurePenalty   = 300 * time.Millisecond // failurePenalty is multiplied by the failure rate.
+	transferOverhead = 3 * time.Millisecond   // transferOverhead is the fixed time of any transfer.
+	runningPenalty   = 2 * time.Millisecond   // runningPenalty is the slowdown by each running request.
+	// weightLoadPenalty is the time of a weight load, which the request may have to wait for.
+	weightLoadPenalty = 600 * time.Millisecond
 )
 
-// under returns the prompt as it is known under a weight version. Its keys stay the same
-// while the request waits; who keeps it is looked up anew at each choice.
-func (p *Placer) under(ask *Ask, weights uint64) *chained {
-	c := ask.chain(weights)
-	if c.round == ask.round {
-		return c
+// lookup returns the prompt under a weight version. Its keys are computed once for a request; its
+// cache locations are looked up again in each round.
+func (p *Placer) lookup(ask *Ask, weights uint64) *versionedPrompt {
+	v := ask.version(weights)
+	if v.round == ask.round {
+		return v
 	}
-	c.round = ask.round
-	c.sources = p.sources(ask, weights, c.keys)
-	c.stored = c.stored[:0]
-	if p.storesServe(ask.now, ask.Prompt.Model, weights) {
-		c.stored = p.stored(c.stored, c.salt, ask.Prompt.Parts)
+	v.round = ask.round
+	v.sources = p.findSources(ask, weights, v.keys)
+	v.stores = v.stores[:0]
+	if p.storesUsable(ask.now, ask.Prompt.Model, weights) {
+		v.stores = p.appendStores(v.stores, v.salt, ask.Prompt.Parts)
 	}
-	return c
+	return v
 }
 
-// chain returns the prompt's chain of keys under a weight version.
-func (a *Ask) chain(weights uint64) *chained {
-	for i := range a.chains {
-		if a.chains[i].weights == weights {
-			return &a.chains[i]
+// version returns the prompt's entry for a weight version, and computes its keys if it is new.
+func (a *Ask) version(weights uint64) *versionedPrompt {
+	for i := range a.versions {
+		if a.versions[i].weights == weights {
+			return &a.versions[i]
 		}
 	}
-	if a.chains == nil {
-		a.chains = a.one[:0]
+	if a.versions == nil {
+		a.versions = a.versionBuf[:0]
 	}
 	salt := a.SaltOf(weights)
-	a.chains = append(a.chains, chained{weights: weights, salt: salt})
-	c := &a.chains[len(a.chains)-1]
-	c.keys = keysOf(c.few[:0], salt, a.Prompt.Parts)
-	return c
+	a.versions = append(a.versions, versionedPrompt{weights: weights, salt: salt})
+	v := &a.versions[len(a.versions)-1]
+	v.keys = keysOf(v.keyBuf[:0], salt, a.Prompt.Parts)
+	return v
 }
 
-// stored appends the stores that hold the beginning of a prompt to out.
-func (p *Placer) stored(out []*store, salt string, parts []Part) []*store {
+// appendStores appends to out the stores that hold the leading parts of a prompt.
+func (p *Placer) appendStores(out []*store, salt string, parts []Part) []*store {
 	for _, part := range parts[:len(parts)-1] {
 		st := p.holder(PartName{Salt: salt, ID: part.ID})
 		if st == nil {
@@ -67,12 +72,12 @@
 	return out
 }
 
-// cost estimates the time to the first token, or to a slot.
+// cost estimates the time to the first token, or to a slot, with penalties.
 func (p *Placer) cost(now time.Time, t *target, ask *Ask) time.Duration {
 	work := t.work()
-	cost := time.Duration(t.failing * float64(failPenalty))
-	if !t.near {
-		cost += farPenalty
+	cost := time.Duration(t.failureRate * float64(failurePenalty))
+	if !t.sameZone {
+		cost += crossZonePenalty
 	}
 	if p.cold(now, t) {
 		cost += coldPenalty
@@ -80,49 +85,50 @@
 	if t.engine == nil || ask.Prompt == nil {
 		return cost + slotWait(t, work)
 	}
-	if p.blind(t) {
-		cost += blindPenalty
+	if p.staleLoad(t) {
+		cost += staleLoadPenalty
 	}
 	if t.phase == renewer.PhaseNext {
-		cost += loadPenalty
+		cost += weightLoadPenalty
 	}
 	weights := t.upstream.Weights[ask.Prompt.Model]
 	if weights < p.named[ask.Prompt.Model].Version {
-		cost += oldWeights(now.Sub(p.named[ask.Prompt.Model].Replaced(weights)))
+		cost += weightsPenalty(now.Sub(p.named[ask.Prompt.Model].Replaced(weights)))
 	}
-	return cost + engineWait(t, ask, p.under(ask, weights), work)
+	return cost + engineWait(t, ask, p.lookup(ask, weights), work)
 }
 
-// slotWait estimates the wait at a plain service.
+// slotWait estimates the wait for a slot of a plain service.
 func slotWait(t *target, work Work) time.Duration {
 	slots := max(t.upstream.Slots, 1)
-	wait := time.Duration(work.Requests) * t.hold / time.Duration(4*slots) // a busier upstream is a slower one
+	// Load slows requests below the slot limit too.
+	wait := time.Duration(work.Requests) * t.serviceTime / time.Duration(4*slots)
 	if over := work.Requests + 1 - slots; over > 0 {
-		wait += time.Duration(over) * t.hold / time.Duration(slots)
+		wait += time.Duration(over) * t.serviceTime / time.Duration(slots)
 	}
 	return wait
 }
 
-func engineWait(t *target, ask *Ask, known *chained, work Work) time.Duration {
-	f := fetchPlan(t, ask, known)
+func engineWait(t *target, ask *Ask, prompt *versionedPrompt, work Work) time.Duration {
+	f := fetchPlan(t, ask, prompt)
 	cost := time.Duration(work.Requests)*runningPenalty + f.time
-	cost += t.takes(ask.now, readTime(work.Pending+f.missing))
-	if known.sources[0].target == nil && rendezvous(shared(known.keys), t.hash)%8 == 0 {
+	cost += t.scaled(ask.now, prefillTime(work.Pending+f.prefillTokens))
+	if prompt.sources[0].target == nil && rendezvous(sharedKey(prompt.keys), t.hash)%8 == 0 {
 		cost -= affinityBonus
 	}
 	return cost
 }
 
-// shared returns the key of the deepest part that other requests may have.
-func shared(keys []PartKey) PartKey {
+// sharedKey returns the key of the last part that other requests may share.
+func sharedKey(keys []PartKey) PartKey {
 	if len(keys) == 1 {
 		return keys[0]
 	}
 	return keys[len(keys)-2]
 }
 
-func readTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / readPerMilli * float64(time.Millisecond))
+func prefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / prefillTokensPerMilli * float64(time.Millisecond))
 }
 
 func transferTime(tokens, bytesPerToken int, mbps float64) time.Duration {
--- a/placer/dump.go
+++ b/placer/dump.go
@@ -9,46 +9,46 @@
 	"amaranthgate.example/amaranthgate/renewer"
 )
 
-// Dump is what placement knows.
+// Dump is the state of a Placer for inspection.
 type Dump struct {
 	Upstreams map[string]UpstreamDump
-	Stores    map[string]StoreDump // Stores are by address.
+	Stores    map[string]StoreDump // Stores is keyed by address.
 }
 
-// UpstreamDump is what placement knows of an upstream.
+// UpstreamDump is the state of an upstream in a Dump.
 type UpstreamDump struct {
 	Own        Work
 	Others     Work
-	Failing    float64 // Failing is the recent share of requests that failed.
+	Failing    float64 // Failing is the smoothed failure rate.
 	Suspect    bool
 	Renewing   renewer.Phase // Renewing is empty for engines that are not about to load weights.
 	KeptParts  int
 	KeptTokens int
-	Slowness   float64   // Slowness is how many times longer than estimated the engine takes.
-	ColdUntil  time.Time // ColdUntil is until when it bears only so many requests.
+	Slowness   float64   // Slowness is the ratio of observed to estimated time.
+	ColdUntil  time.Time // ColdUntil is until when the rate limit of cold upstreams applies.
 }
 
-// StoreDump is what placement knows of a store of kept context.
+// StoreDump is the state of a KV cache store in a Dump.
 type StoreDump struct {
 	Up         bool
 	Parts      int
 	Tokens     int
 	Capacity   int
-	Slowness   float64 // Slowness is how many times slower than configured it looks.
+	Slowness   float64 // Slowness is the ratio of observed to configured transfer time.
 	Transfers  int
-	InTransfer int // InTransfer are the tokens under way.
+	InTransfer int // InTransfer is the number of tokens in flight.
 }
 
-// Dump returns what placement knows now.
+// Dump returns the current state.
 func (p *Placer) Dump(now time.Time) Dump {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := Dump{Upstreams: make(map[string]UpstreamDump), Stores: make(map[string]StoreDump)}
 	for id, t := range p.targets {
 		d.Upstreams[id] = UpstreamDump{
-			Own: t.own, Others: t.peers, Failing: t.failing, Suspect: t.suspect(now), Renewing: t.phase,
-			KeptParts: len(t.kept.parts), KeptTokens: t.kept.tokens,
-			Slowness: t.slow.factor(now), ColdUntil: p.coldUntil(t),
+			Own: t.own, Others: t.peers, Failing: t.failureRate, Suspect: t.suspect(now), Renewing: t.phase,
+			KeptParts: len(t.cache.parts), KeptTokens: t.cache.tokens,
+			Slowness: t.slowness.factor(now), ColdUntil: p.coldUntil(t),
 		}
 	}
 	for address, st := range p.stores {
--- a/placer/evacuation_test.go
+++ b/placer/evacuation_test.go
@@ -12,12 +12,11 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// evacuatedView has upstreams and stores with even numbers in the zone "east", which is
-// evacuated, and the others in "west".
+// evacuatedView returns a view of upstreams in the zones "east" (even numbers) and "west".
 func evacuatedView(n int) *follower.View {
 	v := testView(n, 1)
 	i := 0
-	return with(v, func(u *follower.Upstream) {
+	return changeAll(v, func(u *follower.Upstream) {
 		u.AvailabilityZone = "west"
 		if i%2 == 0 {
 			u.AvailabilityZone = "east"
@@ -26,17 +25,17 @@
 	})
 }
 
-// TestEvacuatedZone: nothing goes to upstreams of a zone that is evacuated, none of them
-// is named as a source, and nothing is left to be chosen where all are there.
+// TestEvacuatedZone checks that upstreams of an evacuated zone are neither chosen nor used as
+// sources, and that None is returned if all zones are evacuated.
 func TestEvacuatedZone(t *testing.T) {
 	v := evacuatedView(4)
 	p := testPlacer(v)
 	first, verdict := p.Choose(start, askFor("shared", "own"))
 	assert.Equal(t, verdict, Chosen)
 	serve(p, start, first)
-	emptied := *v
-	emptied.Evacuated = map[string]bool{first.Upstream.AvailabilityZone: true}
-	p.Update(&emptied)
+	evacuated := *v
+	evacuated.Evacuated = map[string]bool{first.Upstream.AvailabilityZone: true}
+	p.Update(&evacuated)
 	for i := range 20 {
 		c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i)))
 		assert.Equal(t, verdict, Chosen)
--- a/placer/exchange.go
+++ b/placer/exchange.go
@@ -10,41 +10,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what hosts tell each other.
+// Limits of the reports between hosts.
 const (
-	// maxPlaced bounds the placements that wait to be told. What does not fit is
-	// lost, and costs other hosts a reading.
-	maxPlaced = 4096
-	// peerLifetime is how long the last word of another host counts. Hosts speak
-	// several times a second; one that is silent for longer is gone or cut off,
-	// and its requests have ended or soon will.
-	peerLifetime = 1500 * time.Millisecond
+	// maxQueuedReports bounds each queue of placements, samples, transfers and prefills that wait
+	// for the next report. Entries beyond it are dropped, which costs other hosts a prefill at
+	// most.
+	maxQueuedReports = 4096
+	// peerReportTTL is how long the last report of another host counts. Hosts report several times
+	// a second.
+	peerReportTTL = 1500 * time.Millisecond
 )
 
-// Placement says that an engine has read a part.
+// Placement reports that an engine has prefilled a part.
 type Placement struct {
-	Upstream string  `cbor:"1,keyasint"` // Upstream is what Start names the engine.
+	// Upstream is the engine's instance, as returned by follower.Upstream.Start.
+	Upstream string  `cbor:"1,keyasint"`
 	Key      PartKey `cbor:"2,keyasint"`
 	Tokens   int     `cbor:"3,keyasint"`
 }
 
-// Report is what a host tells the others.
+// Report is what a host sends to the other hosts.
 type Report struct {
-	Work   map[string]Work `cbor:"1,keyasint,omitempty"` // Work is by start of an upstream; those left out have none.
-	Placed []Placement     `cbor:"2,keyasint,omitempty"` // Placed is new since the last report.
-	// Stores is what is being fetched from stores, by address.
+	// Work is keyed by upstream instance; instances left out have none.
+	Work   map[string]Work `cbor:"1,keyasint,omitempty"`
+	Placed []Placement     `cbor:"2,keyasint,omitempty"` // Placed are placements since the last report.
+	// Stores is the work of transfers from stores, by store address.
 	Stores map[string]Work `cbor:"3,keyasint,omitempty"`
 	// Transfers were timed since the last report.
 	Transfers []Transfer   `cbor:"4,keyasint,omitempty"`
-	Paces     []PaceSample `cbor:"7,keyasint,omitempty"` // Paces were timed since the last report.
-	Waiting   int          `cbor:"5,keyasint,omitempty"` // Waiting are requests that wait at the host.
-	Begun     []Beginning  `cbor:"8,keyasint,omitempty"` // Begun was placed since the last report.
-	// Partial tells that Work has only upstreams whose work has changed since the last
-	// report, also those that have none any more, and that Stores are as before.
+	Paces     []PaceSample `cbor:"7,keyasint,omitempty"` // Paces were sampled since the last report.
+	// Waiting is the number of requests that wait at the host.
+	Waiting int `cbor:"5,keyasint,omitempty"`
+	// Begun are prefills started since the last report.
+	Begun []PrefillStart `cbor:"8,keyasint,omitempty"`
+	// Partial reports that Work has only upstreams whose work has changed since the last report,
+	// including those that have none any more, and that Stores is unchanged.
 	Partial bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Add adds the work of another report.
+// Add adds the work of another report to r.
 func (r *Report) Add(o Report) {
 	for id, w := range o.Work {
 		sum := r.Work[id]
@@ -58,18 +62,18 @@
 	}
 }
 
-func (p *Placer) tell(pl Placement) {
-	if len(p.placed) < maxPlaced {
-		p.placed = append(p.placed, pl)
+func (p *Placer) queuePlacement(placement Placement) {
+	if len(p.placements) < maxQueuedReports {
+		p.placements = append(p.placements, placement)
 	}
 }
 
-// Report returns what the other hosts should know now.
+// Report returns the full report for the other hosts and clears what was queued for it.
 func (p *Placer) Report() Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := Report{Work: make(map[string]Work), Stores: make(map[string]Work), Placed: p.placed, Transfers: p.transfers, Paces: p.samples, Begun: p.begun}
-	p.placed, p.transfers, p.samples, p.begun = nil, nil, nil, nil
+	r := Report{Work: make(map[string]Work), Stores: make(map[string]Work), Placed: p.placements, Transfers: p.transfers, Paces: p.samples, Begun: p.prefillStarts}
+	p.placements, p.transfers, p.samples, p.prefillStarts = nil, nil, nil, nil
 	clear(p.changed)
 	r.Waiting = p.waiting()
 	for address, st := range p.stores {
@@ -77,26 +81,25 @@
 			r.Stores[address] = st.own
 		}
 	}
-	for t := range p.working {
+	for t := range p.activeTargets {
 		if t.own.Requests > 0 {
-			r.Work[t.key] = t.own
+			r.Work[t.instance] = t.own
 		} else {
-			delete(p.working, t)
+			delete(p.activeTargets, t)
 		}
 	}
 	return r
 }
 
-// Changes returns what has changed since the last report. With 15 hosts that tell each
-// other of each long prompt at once, whole reports were three quarters of the bytes
-// between hosts.
+// Changes returns a partial report of what has changed since the last report. It keeps the urgent
+// reports of long prompts small.
 func (p *Placer) Changes() Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r := Report{Partial: true, Work: make(map[string]Work, len(p.changed)), Placed: p.placed, Begun: p.begun, Waiting: p.waiting()}
-	p.placed, p.begun = nil, nil
+	r := Report{Partial: true, Work: make(map[string]Work, len(p.changed)), Placed: p.placements, Begun: p.prefillStarts, Waiting: p.waiting()}
+	p.placements, p.prefillStarts = nil, nil
 	for t := range p.changed {
-		r.Work[t.key] = t.own
+		r.Work[t.instance] = t.own
 	}
 	clear(p.changed)
 	return r
@@ -110,79 +113,77 @@
 	return p.opts.Waiting()
 }
 
-// Kept returns all that engines are believed to keep, for a host that has just
-// started.
+// Kept returns all parts that engines are believed to cache, for a host that has just started.
 func (p *Placer) Kept() []Placement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Placement
 	for id, t := range p.targets {
-		for k, part := range t.kept.parts {
+		for k, part := range t.cache.parts {
 			out = append(out, Placement{Upstream: id, Key: k, Tokens: part.tokens})
 		}
 	}
 	return out
 }
 
-// Heard takes in the report of another host.
+// Heard applies the report of another host.
 func (p *Placer) Heard(now time.Time, host string, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r.Work != nil { // a report of what is kept only says nothing of work
-		p.heard = now
+	if r.Work != nil { // a report without work has only placements
+		p.lastReportAt = now
 		if r.Partial {
-			p.heardPart(now, host, r)
+			p.applyPartial(now, host, r)
 		} else {
-			p.replacePeer(now, host, &peerWork{at: now, waiting: r.Waiting, work: maps.Clone(r.Work), stores: r.Stores})
+			p.setPeer(now, host, &peerWork{at: now, waiting: r.Waiting, work: maps.Clone(r.Work), stores: r.Stores})
 		}
-		p.eased()
+		p.notifyRoom()
 	}
 	for _, tr := range r.Transfers {
 		if st := p.stores[tr.Store]; st != nil {
-			st.pace.learn(now, tr)
+			st.pace.observe(now, tr)
 		}
 	}
 	for _, b := range r.Begun {
-		p.started(now, b, nil)
+		p.prefillStarted(now, b, nil)
 	}
-	for _, rd := range r.Paces {
-		if t := p.of(rd.Upstream); t != nil {
-			t.slow.learn(now, rd)
+	for _, sample := range r.Paces {
+		if t := p.targetByInstance(sample.Upstream); t != nil {
+			t.slowness.observe(now, sample)
 		}
 	}
-	for _, pl := range r.Placed {
-		if t := p.of(pl.Upstream); t != nil && t.engine != nil {
-			t.kept.put(now, pl.Key, pl.Tokens, p.room(t))
+	for _, placement := range r.Placed {
+		if t := p.targetByInstance(placement.Upstream); t != nil && t.engine != nil {
+			t.cache.put(now, placement.Key, placement.Tokens, p.cacheRoom(t))
 		}
-		p.ended(pl.Key, nil)
+		p.prefillEnded(placement.Key, nil)
 	}
 }
 
-// heardPart takes in what has changed in another host's work; p.mu is held.
-func (p *Placer) heardPart(now time.Time, host string, r Report) {
+// applyPartial applies the changes of another host's work; p.mu is held.
+func (p *Placer) applyPartial(now time.Time, host string, r Report) {
 	w := p.peers[host]
 	if w == nil {
 		w = &peerWork{work: make(map[string]Work)}
 		p.peers[host] = w
 	}
-	contends := (w.waiting > 0) != (r.Waiting > 0)
+	contenderChanged := (w.waiting > 0) != (r.Waiting > 0)
 	w.at, w.waiting = now, r.Waiting
 	for id, work := range r.Work {
-		p.replaceWork(now, id, w.work[id], work)
+		p.setPeerWork(now, id, w.work[id], work)
 		w.work[id] = work
 	}
-	if contends {
-		p.recount()
+	if contenderChanged {
+		p.updateContenders()
 	}
 }
 
-// replacePeer takes over all that another host has said; nil if it counts no more. The sums of
-// what all hosts said change by what is other than before: added up anew over 10,000 upstreams,
-// 75 reports a second took 3% of a core.
-func (p *Placer) replacePeer(now time.Time, host string, w *peerWork) {
-	was := p.peers[host]
-	if was == nil {
-		was = &peerWork{}
+// setPeer replaces the work of another host; nil removes it. The sums over all hosts are updated by
+// the differences, since adding them up again would be too slow with many upstreams.
+func (p *Placer) setPeer(now time.Time, host string, w *peerWork) {
+	old := p.peers[host]
+	if old == nil {
+		old = &peerWork{}
 	}
 	p.peers[host] = w
 	if w == nil {
@@ -190,32 +191,32 @@
 		w = &peerWork{}
 	}
 	for id, work := range w.work {
-		p.replaceWork(now, id, was.work[id], work)
+		p.setPeerWork(now, id, old.work[id], work)
 	}
-	for id, work := range was.work {
+	for id, work := range old.work {
 		if _, still := w.work[id]; !still {
-			p.replaceWork(now, id, work, Work{})
+			p.setPeerWork(now, id, work, Work{})
 		}
 	}
-	p.sumStores()
-	p.recount()
+	p.sumPeerTransfers()
+	p.updateContenders()
 }
 
-// replaceWork takes over one host's work at an upstream, and notes when it has become less.
-func (p *Placer) replaceWork(now time.Time, id string, was, is Work) {
+// setPeerWork replaces one host's work at an upstream, and records when it decreased.
+func (p *Placer) setPeerWork(now time.Time, id string, old, updated Work) {
 	t := p.targets[id]
 	if t == nil {
-		return // looked at later, it has what all hosts say then
+		return // targetOf adds the work of all hosts when it creates the target
 	}
-	t.peers.sub(was)
-	t.peers.add(is)
-	if is.Memory < was.Memory || is.Pending < was.Pending {
-		t.eased = now
+	t.peers.sub(old)
+	t.peers.add(updated)
+	if updated.Memory < old.Memory || updated.Pending < old.Pending {
+		t.freedAt = now
 	}
 }
 
-// sumStores adds up what other hosts fetch from stores.
-func (p *Placer) sumStores() {
+// sumPeerTransfers adds up what other hosts fetch from stores.
+func (p *Placer) sumPeerTransfers() {
 	for _, st := range p.stores {
 		st.peers = Work{}
 	}
@@ -228,33 +229,34 @@
 	}
 }
 
-// recount notes at which other hosts requests wait.
-func (p *Placer) recount() {
-	p.contend = p.contend[:0]
+// updateContenders collects the other hosts that have requests waiting.
+func (p *Placer) updateContenders() {
+	p.contenders = p.contenders[:0]
 	for host, w := range p.peers {
 		if w.waiting > 0 {
-			p.contend = append(p.contend, xxhash.Sum64String(host))
+			p.contenders = append(p.contenders, xxhash.Sum64String(host))
 		}
 	}
 }
 
-// Forget drops what silent hosts have said.
+// Forget drops the reports of hosts that have not reported lately, and prefills that should have
+// ended.
 func (p *Placer) Forget(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for host, w := range p.peers {
-		if now.Sub(w.at) > peerLifetime {
-			p.replacePeer(now, host, nil)
+		if now.Sub(w.at) > peerReportTTL {
+			p.setPeer(now, host, nil)
 		}
 	}
-	for key, r := range p.reading {
+	for key, r := range p.prefills {
 		if now.After(r.end) {
-			delete(p.reading, key)
+			delete(p.prefills, key)
 		}
 	}
 }
 
-// peersAge is the age of the oldest word that counts.
+// peersAge returns the age of the oldest report that counts.
 func (p *Placer) peersAge(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, w := range p.peers {
--- a/placer/exchange_test.go
+++ b/placer/exchange_test.go
@@ -15,8 +15,8 @@
 
 func init() { seeder.Fix() }
 
-// TestChangesAddUp: whichever mixture of whole reports and of changes another host is
-// sent, it knows exactly what this one has under way at each upstream.
+// TestChangesAddUp checks that any mixture of full and partial reports gives another host the
+// exact work at each upstream.
 func TestChangesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := testPlacer(testView(5, 1)), testPlacer(testView(5, 1))
@@ -43,13 +43,13 @@
 			for id, t2 := range a.targets {
 				want := t2.own
 				want.add(b.peers["c"].work[id])
-				assert.Equal(t, b.of(id).peers, want, "%s after step %d", id, i)
+				assert.Equal(t, b.targetByInstance(id).peers, want, "%s after step %d", id, i)
 			}
 		}
 	})
 }
 
-// TestChangesAreFew: a report of changes names only upstreams whose work has changed.
+// TestChangesAreFew checks that a partial report has only upstreams whose work has changed.
 func TestChangesAreFew(t *testing.T) {
 	p := testPlacer(testView(20, 1))
 	for i := range 15 {
@@ -62,6 +62,6 @@
 	c.Ticket.Done(start, ResultServed)
 	got := p.Changes()
 	assert.Assert(t, got.Partial)
-	assert.DeepEqual(t, got.Work, map[string]Work{c.Upstream.ID: p.of(c.Upstream.ID).own})
+	assert.DeepEqual(t, got.Work, map[string]Work{c.Upstream.ID: p.targetByInstance(c.Upstream.ID).own})
 	assert.Equal(t, len(p.Changes().Work), 0)
 }
--- a/placer/home.go
+++ b/placer/home.go
@@ -5,8 +5,9 @@
 
 import "slices"
 
-// home tells that a request may be served, and its context kept, in an availability zone.
-func (p *Placer) home(ask *Ask, zone string) bool {
+// allowedIn reports whether a request may be served, and its context stored, in an availability
+// zone.
+func (p *Placer) allowedIn(ask *Ask, zone string) bool {
 	for _, regions := range ask.Homes {
 		if len(regions) > 0 && !slices.Contains(regions, p.opts.Regions[zone]) {
 			return false
--- a/placer/home_test.go
+++ b/placer/home_test.go
@@ -10,14 +10,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHomes: a request whose route or workspace names regions goes nowhere else, nor is its
-// context saved elsewhere; where both name some, both bind.
-func TestHomes(t *testing.T) {
+// TestRegions checks that a request is served, and its context saved, only in the regions that
+// its route and its workspace both allow.
+func TestRegions(t *testing.T) {
 	v := evacuatedView(4) // two engines in each zone
 	for _, c := range []struct {
 		name  string
 		homes [][]string
-		zones []string // zones are those that serve.
+		zones []string // zones are those that may serve the request.
 	}{
 		{"none", [][]string{nil, nil}, []string{"east", "west"}},
 		{"the route's", [][]string{{"r-east"}, nil}, []string{"east"}},
@@ -39,10 +39,10 @@
 				if verdict != Chosen {
 					return
 				}
-				// The stores of these tests are in no region.
+				// The stores of testView are in no region.
 				assert.Assert(t, got.Save == nil || c.name == "none")
 				seen[got.Upstream.AvailabilityZone] = true
-				serve(p, start.Add(firstToken+got.Basis.Reading), got)
+				serve(p, start.Add(firstTokenTime+got.Basis.Reading), got)
 			}
 			for _, zone := range c.zones {
 				assert.Assert(t, seen[zone], zone)
--- a/placer/keepers.go
+++ b/placer/keepers.go
@@ -5,29 +5,29 @@
 
 import "slices"
 
-// keepers has the engines that are believed to keep each part. Without it each choice asks all
-// engines what they keep of a prompt: 0.3 ms of the 2.1 ms that one took among 9,695.
-type keepers map[PartKey][]*target
+// cacheIndex maps each part to the engines that are believed to cache it, the most recently added
+// last. It spares each choice a scan of all engines.
+type cacheIndex map[PartKey][]*target
 
-func (k keepers) add(key PartKey, t *target) { k[key] = append(k[key], t) }
+func (k cacheIndex) add(key PartKey, t *target) { k[key] = append(k[key], t) }
 
-func (k keepers) remove(key PartKey, t *target) {
-	of := k[key]
-	i := slices.Index(of, t)
+func (k cacheIndex) remove(key PartKey, t *target) {
+	holders := k[key]
+	i := slices.Index(holders, t)
 	switch {
 	case i < 0:
-	case len(of) == 1:
+	case len(holders) == 1:
 		delete(k, key)
 	default:
-		k[key] = slices.Delete(of, i, i+1)
+		k[key] = slices.Delete(holders, i, i+1)
 	}
 }
 
-// forget removes an engine that is gone. What requests that it still runs have it keep is noted
-// for nobody.
-func (k keepers) forget(t *target) {
-	for key := range t.kept.parts {
+// removeAll removes an engine that is gone, and detaches its cache so that requests that still run
+// there do not change the index.
+func (k cacheIndex) removeAll(t *target) {
+	for key := range t.cache.parts {
 		k.remove(key, t)
 	}
-	t.kept = keptSet{engine: t, keepers: make(keepers)}
+	t.cache = cacheEstimate{engine: t, index: make(cacheIndex)}
 }
--- a/placer/kept.go
+++ b/placer/kept.go
@@ -5,44 +5,44 @@
 
 import "time"
 
-// keptSet guesses what an engine keeps: what was read there, the least recently
-// used forgotten first. It is a guess because the engine decides; a wrong one
-// costs a transfer or a reading and is never an error.
-type keptSet struct {
-	parts   map[PartKey]keptPart
-	tokens  int
-	engine  *target // engine is whose it is.
-	keepers keepers // keepers hears of each change.
+// cacheEstimate is the estimated content of an engine's KV cache: parts that were prefilled there,
+// evicted in LRU order. The engine's own eviction may differ; a wrong estimate costs a transfer or
+// a prefill but does not affect correctness.
+type cacheEstimate struct {
+	parts  map[PartKey]cachedPart
+	tokens int
+	engine *target    // engine is the engine whose cache it is.
+	index  cacheIndex // index is updated with each change.
 }
 
-type keptPart struct {
+type cachedPart struct {
 	tokens int
 	used   time.Time
 }
 
-func (s *keptSet) has(k PartKey) bool {
+func (s *cacheEstimate) has(k PartKey) bool {
 	_, ok := s.parts[k]
 	return ok
 }
 
-// put notes that a part was read, and forgets the oldest beyond capacity.
-func (s *keptSet) put(now time.Time, k PartKey, tokens, capacity int) {
+// put records that a part was prefilled, and evicts the least recently used beyond capacity.
+func (s *cacheEstimate) put(now time.Time, k PartKey, tokens, capacity int) {
 	if s.parts == nil {
-		s.parts = make(map[PartKey]keptPart)
+		s.parts = make(map[PartKey]cachedPart)
 	}
 	if p, ok := s.parts[k]; ok {
-		s.parts[k] = keptPart{tokens: p.tokens, used: now}
+		s.parts[k] = cachedPart{tokens: p.tokens, used: now}
 		return
 	}
-	s.parts[k] = keptPart{tokens: tokens, used: now}
+	s.parts[k] = cachedPart{tokens: tokens, used: now}
 	s.tokens += tokens
-	s.keepers.add(k, s.engine)
+	s.index.add(k, s.engine)
 	for s.tokens > capacity && len(s.parts) > 1 {
 		s.dropOldest(k)
 	}
 }
 
-func (s *keptSet) dropOldest(except PartKey) {
+func (s *cacheEstimate) dropOldest(except PartKey) {
 	var oldest PartKey
 	var at time.Time
 	for k, p := range s.parts {
@@ -53,16 +53,16 @@
 	s.drop(oldest)
 }
 
-func (s *keptSet) drop(k PartKey) {
+func (s *cacheEstimate) drop(k PartKey) {
 	if p, ok := s.parts[k]; ok {
 		s.tokens -= p.tokens
 		delete(s.parts, k)
-		s.keepers.remove(k, s.engine)
+		s.index.remove(k, s.engine)
 	}
 }
 
-// leading returns how many of the first parts are kept, and their tokens.
-func (s *keptSet) leading(keys []PartKey, parts []Part) (n, tokens int) {
+// leading returns the number of leading parts that are cached, and their tokens.
+func (s *cacheEstimate) leading(keys []PartKey, parts []Part) (n, tokens int) {
 	for i, k := range keys {
 		if !s.has(k) {
 			break
--- a/placer/pace.go
+++ b/placer/pace.go
@@ -8,78 +8,77 @@
 	"time"
 )
 
-// Paces of engines. They differ in speed, some turn slow for a while, and nobody says so.
-// Each first token tells how much longer than estimated an engine took; hosts tell each
-// other what stands out, since one host sees each engine less than once a second.
+// Learning of engine speed. Engines differ in speed, and some turn slow for a while. Each time to
+// first token is compared with the estimate; hosts exchange the samples that stand out, since each
+// host alone sees few requests of an engine.
 const (
-	// slowWeight follows an engine that turns four times slower within some five long
-	// prompts, or ten short ones.
-	slowWeight = 0.3
-	// slowScale is the estimate from which a sample has more than half of its weight.
-	// Short ones meet a chunk of another prompt, 21 ms, by chance.
-	slowScale = 100 * time.Millisecond
-	// slowForget is the time in which half of what was learned is forgotten: an engine
-	// that looks slow gets little, and would look slow for ever.
-	slowForget = 20 * time.Second
-	// mostSlow and mostFast bound one sample, as factors: an engine that a long prompt of
-	// another host has reached just before is not ten times slower, and one that kept more
-	// than was believed is not faster.
-	mostSlow = 6
-	mostFast = 1.5
-	// slowTold is how far a short request's sample must lie off to be told to others, as a
-	// logarithm: by half.
-	slowTold = 0.4
-	// mostFetching is the part of an estimate that may be transfers for the rest to be
-	// timed.
-	mostFetching = 0.3
+	// engineSampleWeight is the smoothing weight of a sample of a long prefill.
+	engineSampleWeight = 0.3
+	// engineSampleScale is the estimate at which a sample has half of that weight. Short prefills
+	// vary with the batch that they happen to share.
+	engineSampleScale = 100 * time.Millisecond
+	// engineHalfLife is the time in which what was learned decays to half, so that an engine that
+	// looked slow gets requests again.
+	engineHalfLife = 20 * time.Second
+	// maxSlowdown and maxSpeedup bound one sample, as factors: an unreported prompt ahead of the
+	// request, or a part that was cached unexpectedly, says nothing of the engine's speed.
+	maxSlowdown = 6
+	maxSpeedup  = 1.5
+	// minReportedSlowdown is the absolute value from which a short request's sample, a logarithm,
+	// is reported to other hosts.
+	minReportedSlowdown = 0.4
+	// maxTransferShare is the ratio of transfer to engine time up to which a request is sampled.
+	maxTransferShare = 0.3
 )
 
-// slowness is how much longer than the common estimate an engine takes.
+// slowness is the ratio of an engine's time to the common estimate.
 type slowness struct {
-	learned float64 // learned is a logarithm.
+	learned float64 // learned is the natural logarithm of the ratio.
 	at      time.Time
 }
 
-// factor returns how many times longer the engine takes.
+// factor returns the ratio at a time, 1 if nothing was learned.
 func (s *slowness) factor(now time.Time) float64 {
 	if s.learned == 0 {
 		return 1
 	}
-	age := now.Sub(s.at).Seconds() / slowForget.Seconds()
+	age := now.Sub(s.at).Seconds() / engineHalfLife.Seconds()
 	return math.Exp(s.learned * math.Pow(0.5, age))
 }
 
-// learn takes in a sample.
-func (s *slowness) learn(now time.Time, r PaceSample) {
-	had := math.Log(s.factor(now))
-	s.learned = had + float64(r.Weight)*(float64(r.Slower)-had)
+// observe merges a sample.
+func (s *slowness) observe(now time.Time, r PaceSample) {
+	prev := math.Log(s.factor(now))
+	s.learned = prev + float64(r.Weight)*(float64(r.LogSlowdown)-prev)
 	s.at = now
 }
 
 // PaceSample is one timed request at an engine.
 type PaceSample struct {
-	Upstream string  `cbor:"1,keyasint"` // Upstream is what Start names the engine.
-	Slower   float32 `cbor:"2,keyasint"` // Slower is the logarithm of how many times longer than estimated it took.
-	Weight   float32 `cbor:"3,keyasint"`
+	// Upstream is the engine's instance, as returned by follower.Upstream.Start.
+	Upstream string `cbor:"1,keyasint"`
+	// LogSlowdown is the natural logarithm of the ratio of the observed to the estimated time.
+	LogSlowdown float32 `cbor:"2,keyasint"`
+	Weight      float32 `cbor:"3,keyasint"`
 }
 
-// takes returns how long an engine takes for what a common one does in a time.
-func (t *target) takes(now time.Time, d time.Duration) time.Duration {
-	return time.Duration(t.slow.factor(now) * float64(d))
+// scaled returns the time that this engine takes for what takes a common one d.
+func (t *target) scaled(now time.Time, d time.Duration) time.Duration {
+	return time.Duration(t.slowness.factor(now) * float64(d))
 }
 
-// paced learns from a request whose first token has come.
-func (p *Placer) paced(now time.Time, tk *Ticket) {
-	if tk.common == 0 || float64(tk.fetchTime) > mostFetching*float64(tk.common) {
+// observePace learns from the time to first token of a request.
+func (p *Placer) observePace(now time.Time, tk *Ticket) {
+	if tk.baseline == 0 || float64(tk.fetchTime) > maxTransferShare*float64(tk.baseline) {
 		return
 	}
 	took := max(now.Sub(tk.start)-tk.fetchTime, time.Millisecond)
-	slower := math.Log(float64(took) / float64(tk.common))
-	slower = min(max(slower, -math.Log(mostFast)), math.Log(mostSlow))
-	weight := slowWeight * float64(tk.common) / float64(tk.common+slowScale)
-	r := PaceSample{Upstream: tk.target.key, Slower: float32(slower), Weight: float32(weight)}
-	tk.target.slow.learn(now, r)
-	if (tk.common > slowScale || math.Abs(slower) > slowTold) && len(p.samples) < maxPlaced {
+	slower := math.Log(float64(took) / float64(tk.baseline))
+	slower = min(max(slower, -math.Log(maxSpeedup)), math.Log(maxSlowdown))
+	weight := engineSampleWeight * float64(tk.baseline) / float64(tk.baseline+engineSampleScale)
+	r := PaceSample{Upstream: tk.target.instance, LogSlowdown: float32(slower), Weight: float32(weight)}
+	tk.target.slowness.observe(now, r)
+	if (tk.baseline > engineSampleScale || math.Abs(slower) > minReportedSlowdown) && len(p.samples) < maxQueuedReports {
 		p.samples = append(p.samples, r)
 	}
 }
--- a/placer/pace_test.go
+++ b/placer/pace_test.go
@@ -13,15 +13,15 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// play sends n long prompts, one after the other, to engines of which the first takes so
-// many times longer than the others, and returns how many it got.
-func play(p *Placer, now time.Time, n int, slower float64) (got int) {
+// sendPrompts sends n long prompts one after another, where the engine e0 takes slower times as
+// long as the others, and returns how many went to e0.
+func sendPrompts(p *Placer, now time.Time, n int, slower float64) (got int) {
 	for i := range n {
 		c, verdict := p.Choose(now, askFor(fmt.Sprint("shared", now.Unix(), i), "own"))
 		if verdict != Chosen {
 			break
 		}
-		took := firstToken + c.Basis.Reading
+		took := firstTokenTime + c.Basis.Reading
 		if c.Upstream.ID == "e0" {
 			got++
 			took = time.Duration(slower * float64(took))
@@ -31,24 +31,24 @@
 	return got
 }
 
-// TestPaceIsLearned: an engine that turns slow is left to the others, on every host that
-// hears of it, is tried again after a while, and starts anew as a common one.
-func TestPaceIsLearned(t *testing.T) {
+// TestEngineSpeedIsLearned checks that all hosts avoid an engine that turned slow, that it is
+// tried again later, and that a restart resets what was learned.
+func TestEngineSpeedIsLearned(t *testing.T) {
 	v := testView(4, 1)
 	a, b := testPlacer(v), testPlacer(v)
-	assert.Assert(t, play(a, start, 40, 1) >= 5)
-	slow := play(a, start, 40, 4)
+	assert.Assert(t, sendPrompts(a, start, 40, 1) >= 5)
+	slow := sendPrompts(a, start, 40, 4)
 	assert.Assert(t, slow <= 4, "%d of 40 went to the slow engine", slow)
 
 	b.Heard(start, "a", a.Report())
-	assert.Assert(t, b.of("e0").slow.factor(start) > 1.2)
-	slow = play(b, start, 40, 4)
+	assert.Assert(t, b.targetByInstance("e0").slowness.factor(start) > 1.2)
+	slow = sendPrompts(b, start, 40, 4)
 	assert.Assert(t, slow <= 4, "%d of 40 went to the slow engine", slow)
 
 	later := start.Add(time.Hour)
-	assert.Assert(t, a.of("e0").slow.factor(start.Add(slowForget)) < 1.5)
-	assert.Assert(t, play(a, later, 40, 1) >= 5)
+	assert.Assert(t, a.targetByInstance("e0").slowness.factor(start.Add(engineHalfLife)) < 1.5)
+	assert.Assert(t, sendPrompts(a, later, 40, 1) >= 5)
 
-	b.Update(withFirst(v, func(u *follower.Upstream) { u.Born = 7 }))
-	assert.Equal(t, b.of(b.members["e0"].key).slow.factor(start), 1.0)
+	b.Update(changeFirst(v, func(u *follower.Upstream) { u.Born = 7 }))
+	assert.Equal(t, b.targetByInstance(b.members["e0"].instance).slowness.factor(start), 1.0)
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -15,72 +15,70 @@
 	"amaranthgate.example/amaranthgate/renewer"
 )
 
-// Options set up a Placer.
+// Options configure a Placer.
 type Options struct {
 	Host string // Host is this host's name.
 	// Waiting returns how many requests wait here for an upstream; nil counts as none.
 	Waiting          func() int
-	AvailabilityZone string // AvailabilityZone is this host's.
-	// Regions has the region of each availability zone, where there are several.
+	AvailabilityZone string // AvailabilityZone is this host's zone.
+	// Regions maps availability zones to regions; it may be empty where there is one region.
 	Regions map[string]string
-	// WeightsWithin is the time in which the operators want no request to begin on
-	// replaced weights any more; 10 s if it is not set.
+	// WeightsWithin is the time after which no request may begin on replaced weights; 10 s if it
+	// is not set.
 	WeightsWithin time.Duration
-	Cold          ColdLimit // Cold bounds what all hosts together send to a cold upstream.
-	Seed          uint64    // Seed begins the draws among many upstreams; hosts must differ in it.
-	// Eased is called, if set, when an upstream has more room than before. It must not
-	// block.
+	Cold          ColdLimit // Cold limits what all hosts together send to a cold upstream.
+	Seed          uint64    // Seed is the seed of random sampling; it must differ between hosts.
+	// Eased is called, if set, when an upstream may have more room than before. It must not block.
 	Eased func()
-	// Urgent is called, if set, when a long prompt was placed that other hosts
-	// should know of at once. It must not block.
+	// Urgent is called, if set, when other hosts should get a report of a long prompt at once. It
+	// must not block.
 	Urgent func()
 }
 
-// urgentTokens is the length from which a prompt is told to other hosts at once:
-// 25 ms of reading or more, in which a short request had better go elsewhere.
-// With reports every 100 ms only, one short request in ten was late behind a
-// long prompt that its host had not heard of.
+// urgentTokens is the prefill from which a request is reported to other hosts at once, so that they
+// send short requests elsewhere.
 const urgentTokens = 1024
 
 // Placer chooses upstreams. It is safe for concurrent use.
 type Placer struct {
 	opts Options
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	members   map[string]*member // members are all known upstreams, by ID.
-	targets   map[string]*target // targets are those that were looked at, by what Start names them.
-	pools     map[string]*pool   // pools has those of each service that take new work.
-	cell      int                // cell is this host's among the cells of its zone.
-	cells     int
-	direct    bool      // direct tells that other hosts' work is heard of at once at all upstreams.
-	drawn     []*target // drawn is the room for the candidates of one choice.
-	keepers   keepers   // keepers has the engines that keep each part.
-	view      *follower.View
-	phases    map[string]renewer.Phase
-	working   map[*target]struct{} // working are those at which this host has or lately had requests.
-	peers     map[string]*peerWork
-	changed   map[*target]struct{}  // changed are those whose own work has changed since the last report.
-	stores    map[string]*store     // stores of kept context by address.
-	clock     clock                 // clock is the newest reading of the upstreams' clock.
-	current   time.Time             // current is when the operators' feed was known to be current.
-	reading   map[PartKey]*progress // reading are parts that engines are reading.
-	begun     []Beginning           // begun waits to be told to other hosts.
-	samples   []PaceSample          // samples wait to be told to other hosts.
-	transfers []Transfer            // transfers wait to be told to other hosts.
-	placed    []Placement           // placed waits to be told to other hosts.
-	named     map[string]follower.Named
-	newest    map[string]uint64    // newest is the newest weight version that an engine has of a model.
-	returned  map[string]time.Time // returned is when availability zones that were evacuated were taken back.
-	sharers   sharers
-	host      uint64    // host is a hash of this host's name.
-	contend   []uint64  // contend has a hash of each other host at which requests wait.
-	heard     time.Time // heard is when another host was heard last.
-	watched   time.Time // watched is when Watch last looked.
-	stood     time.Time // stood is when Watch last found that this host had stood still.
+	mu            sync.Mutex
+	rng           *rand.Rand
+	members       map[string]*member // members are all known upstreams, by ID.
+	targets       map[string]*target // targets are the members with load state, by instance.
+	pools         map[string]*pool   // pools has the upstreams of each service that take new work.
+	cell          int                // cell is the index of this host's cell among the cells of its zone.
+	cells         int
+	directReports bool       // directReports reports that all other hosts report to this one directly.
+	candidateBuf  []*target  // candidateBuf is reused for the candidates of each choice.
+	cacheIndex    cacheIndex // cacheIndex has the engines that cache each part.
+	view          *follower.View
+	phases        map[string]renewer.Phase
+	activeTargets map[*target]struct{} // activeTargets are those with requests of this host, now or lately.
+	peers         map[string]*peerWork
+	changed       map[*target]struct{} // changed are those whose own work has changed since the last report.
+	stores        map[string]*store    // stores are KV cache stores, by address.
+	clock         clock                // clock is the latest reading of the upstreams' clock.
+	// feedCurrentAt is when the operators' feed was last known to be current.
+	feedCurrentAt time.Time
+	prefills      map[PartKey]*prefill // prefills are running prefills of long parts.
+	prefillStarts []PrefillStart       // prefillStarts are queued for the next report.
+	samples       []PaceSample         // samples are queued for the next report.
+	transfers     []Transfer           // transfers are queued for the next report.
+	placements    []Placement          // placements are queued for the next report.
+	named         map[string]follower.Named
+	newest        map[string]uint64    // newest is the newest weight version that any engine has of a model.
+	zoneReturns   map[string]time.Time // zoneReturns is when evacuated availability zones took traffic again.
+	coldHosts     coldHosts
+	hostHash      uint64    // hostHash is the hash of this host's name.
+	contenders    []uint64  // contenders are hashes of the other hosts at which requests wait.
+	lastReportAt  time.Time // lastReportAt is when another host last reported.
+	watchedAt     time.Time // watchedAt is when Watch last ran.
+	stalledAt     time.Time // stalledAt is when Watch last found that this process had stalled.
 }
 
-// peerWork is what another host said last.
+// peerWork is the last state that another host reported.
 type peerWork struct {
 	at      time.Time
 	waiting int
@@ -88,45 +86,45 @@
 	stores  map[string]Work
 }
 
-// New returns a placer that knows no upstream.
+// New returns a Placer that knows no upstream.
 func New(opts Options) *Placer {
 	return &Placer{
-		opts:    opts,
-		host:    xxhash.Sum64String(opts.Host),
-		rng:     rand.New(rand.NewPCG(opts.Seed, 1)),
-		view:    &follower.View{},
-		targets: make(map[string]*target),
-		members: make(map[string]*member),
-		pools:   make(map[string]*pool),
-		newest:  make(map[string]uint64),
-		working: make(map[*target]struct{}),
-		peers:   make(map[string]*peerWork),
-		changed: make(map[*target]struct{}),
-		stores:  make(map[string]*store),
-		reading: make(map[PartKey]*progress),
-		keepers: make(keepers),
+		opts:          opts,
+		hostHash:      xxhash.Sum64String(opts.Host),
+		rng:           rand.New(rand.NewPCG(opts.Seed, 1)),
+		view:          &follower.View{},
+		targets:       make(map[string]*target),
+		members:       make(map[string]*member),
+		pools:         make(map[string]*pool),
+		newest:        make(map[string]uint64),
+		activeTargets: make(map[*target]struct{}),
+		peers:         make(map[string]*peerWork),
+		changed:       make(map[*target]struct{}),
+		stores:        make(map[string]*store),
+		prefills:      make(map[PartKey]*prefill),
+		cacheIndex:    make(cacheIndex),
 	}
 }
 
-// Update takes over the upstreams of a view. What is known of those that stay is kept.
-// Requests that are under way at one that has started anew since are lost.
+// Update applies a view. State of upstreams that remain is kept. Requests in flight at an instance
+// that has been replaced since are given up.
 func (p *Placer) Update(view *follower.View) {
-	for _, tell := range p.update(view) {
-		tell()
+	for _, callback := range p.update(view) {
+		callback()
 	}
 }
 
-// update takes over what has changed since the last view. What a change of one of 9,695 upstreams
-// costs must not grow with them: rebuilt whole it took 9 ms and 2.7 MB on each host.
-func (p *Placer) update(view *follower.View) (lost []func()) {
+// update applies the changes since the last view, so that the cost of a change does not grow with
+// the number of upstreams. It returns the callbacks of requests that are given up.
+func (p *Placer) update(view *follower.View) (callbacks []func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.view
 	p.view = view
-	p.named, p.returned = view.Named, view.Returned
+	p.named, p.zoneReturns = view.Named, view.Returned
 	put, gone := view.Upstreams.Since(before.Upstreams)
 	for _, u := range put {
-		lost = append(lost, p.put(view, u)...)
+		callbacks = append(callbacks, p.put(view, u)...)
 	}
 	for _, u := range gone {
 		p.drop(u.ID)
@@ -137,71 +135,71 @@
 		}
 	}
 	if !maps.Equal(view.Evacuated, before.Evacuated) {
-		for _, s := range p.members {
-			p.enlist(s, view.Takes(s.upstream))
+		for _, m := range p.members {
+			p.setListed(m, view.Takes(m.upstream))
 		}
 	}
 	p.updateStores(view)
-	p.eased()
-	return lost
+	p.notifyRoom()
+	return callbacks
 }
 
-// put takes over an upstream that is new or has changed. Requests under way at an earlier start
-// of it are lost.
-func (p *Placer) put(view *follower.View, u *follower.Upstream) (lost []func()) {
-	key := u.Start()
-	s := p.members[u.ID]
-	if s != nil && s.key != key {
-		if s.target != nil {
-			lost = s.target.lost()
+// put applies an upstream that is new or has changed, and returns the callbacks of requests in
+// flight at an earlier instance.
+func (p *Placer) put(view *follower.View, u *follower.Upstream) (callbacks []func()) {
+	instance := u.Start()
+	m := p.members[u.ID]
+	if m != nil && m.instance != instance {
+		if m.target != nil {
+			callbacks = m.target.takeCallbacks()
 		}
 		p.drop(u.ID)
-		s = nil
+		m = nil
 	}
 	switch {
-	case s == nil:
-		s = &member{key: key, upstream: u, hash: xxhash.Sum64String(u.ID)}
-		p.members[u.ID] = s
-	case s.upstream.Service != u.Service:
-		p.enlist(s, false)
+	case m == nil:
+		m = &member{instance: instance, upstream: u, hash: xxhash.Sum64String(u.ID)}
+		p.members[u.ID] = m
+	case m.upstream.Service != u.Service:
+		p.setListed(m, false)
 	}
-	s.upstream, s.near = u, u.AvailabilityZone == p.opts.AvailabilityZone
-	p.enlist(s, view.Takes(u))
-	if s.target != nil {
-		p.configure(s.target)
+	m.upstream, m.sameZone = u, u.AvailabilityZone == p.opts.AvailabilityZone
+	p.setListed(m, view.Takes(u))
+	if m.target != nil {
+		p.configure(m.target)
 	}
 	for model, version := range u.Weights {
 		p.newest[model] = max(p.newest[model], version)
 	}
-	return lost
+	return callbacks
 }
 
-// drop forgets an upstream. What it still runs goes on.
+// drop removes an upstream. Requests in flight there continue.
 func (p *Placer) drop(id string) {
-	s := p.members[id]
-	if s == nil {
+	m := p.members[id]
+	if m == nil {
 		return
 	}
-	p.enlist(s, false)
+	p.setListed(m, false)
 	delete(p.members, id)
-	t := s.target
+	t := m.target
 	if t == nil {
 		return
 	}
-	p.keepers.forget(t)
-	delete(p.targets, s.key)
+	p.cacheIndex.removeAll(t)
+	delete(p.targets, m.instance)
 	delete(p.changed, t)
-	delete(p.working, t)
+	delete(p.activeTargets, t)
 }
 
-func (p *Placer) newTarget(s *member) *target {
-	t := &target{member: s, eased: p.heard, tickets: make(map[*Ticket]struct{}), hold: firstHold, phase: p.phases[s.upstream.ID]}
-	t.kept = keptSet{engine: t, keepers: p.keepers}
+func (p *Placer) newTarget(m *member) *target {
+	t := &target{member: m, freedAt: p.lastReportAt, tickets: make(map[*Ticket]struct{}), serviceTime: initialServiceTime, phase: p.phases[m.upstream.ID]}
+	t.cache = cacheEstimate{engine: t, index: p.cacheIndex}
 	p.configure(t)
 	return t
 }
 
-// configure takes over what the configuration says of an upstream.
+// configure applies the configuration of an upstream's service.
 func (p *Placer) configure(t *target) {
 	if p.view.Table == nil {
 		return
@@ -211,46 +209,46 @@
 		return
 	}
 	t.engine = s.Engine
-	if t.bears != s.ColdPerSecond {
-		t.bears, t.shareRound = s.ColdPerSecond, 0
+	if t.coldLimit != s.ColdPerSecond {
+		t.coldLimit, t.shareVersion = s.ColdPerSecond, 0
 	}
-	t.coldFor = s.ColdFor
+	t.coldDuration = s.ColdFor
 }
 
-// usual returns the weight version that most requests run on: the one that was named last,
-// or what engines have while none was named.
-func (p *Placer) usual(model string) uint64 {
+// usualWeights returns the weight version that most requests run on: the one named last, or the
+// newest that any engine has while none was named.
+func (p *Placer) usualWeights(model string) uint64 {
 	if v := p.named[model].Version; v > 0 {
 		return v
 	}
 	return p.newest[model]
 }
 
-// SetCell tells which of the cells of its zone this host is in. Engines of the zone
-// are divided among the cells, so that those who use one tell each other at once. Direct
-// tells that this host hears at once of the work of all others at any engine.
+// SetCell sets this host's cell and the number of cells in its zone. Engines of the zone are
+// divided among the cells; the hosts of a cell report to each other at once. If direct is set, all
+// other hosts report to this one at once.
 func (p *Placer) SetCell(own, cells int, direct bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.direct = direct
+	p.directReports = direct
 	if p.cell == own && p.cells == cells {
 		return
 	}
 	p.cell, p.cells = own, cells
-	p.divide()
+	p.assignCells()
 }
 
-// Busy returns the number of requests under way at a start of an upstream.
-func (p *Placer) Busy(start string) int {
+// Busy returns the number of requests in flight at an upstream instance, of all hosts.
+func (p *Placer) Busy(instance string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if t := p.targets[start]; t != nil {
+	if t := p.targets[instance]; t != nil {
 		return t.own.Requests + t.peers.Requests
 	}
 	return 0
 }
 
-// Renewing names the engines that load weights now or will soon.
+// Renewing sets the engines that load weights now or will soon.
 func (p *Placer) Renewing(phases map[string]renewer.Phase) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -261,11 +259,11 @@
 		p.setPhase(id, phase)
 	}
 	p.phases = phases
-	p.eased()
+	p.notifyRoom()
 }
 
 func (p *Placer) setPhase(id string, phase renewer.Phase) {
-	if s := p.members[id]; s != nil && s.target != nil {
-		s.target.phase = phase
+	if m := p.members[id]; m != nil && m.target != nil {
+		m.target.phase = phase
 	}
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Unix(1000, 0)
 
-// testView has n engines, two plain upstreams and two stores.
+// testView returns a view of n engines, two plain upstreams and two stores.
 func testView(n int, named uint64, weights ...uint64) *follower.View {
 	v := &follower.View{
 		Table: matcher.New(matcher.Parts{Services: []matcher.Service{
@@ -47,8 +47,8 @@
 	return v
 }
 
-// with returns a view in which each upstream is as change leaves it.
-func with(v *follower.View, change func(u *follower.Upstream)) *follower.View {
+// changeAll returns a copy of a view with change applied to each upstream.
+func changeAll(v *follower.View, change func(u *follower.Upstream)) *follower.View {
 	next := *v
 	var upstreams []follower.Upstream
 	for u := range v.Upstreams.All() {
@@ -60,9 +60,9 @@
 	return &next
 }
 
-// withFirst returns a view in which the engine e0 is as change leaves it.
-func withFirst(v *follower.View, change func(u *follower.Upstream)) *follower.View {
-	return with(v, func(u *follower.Upstream) {
+// changeFirst returns a copy of a view with change applied to the engine e0.
+func changeFirst(v *follower.View, change func(u *follower.Upstream)) *follower.View {
+	return changeAll(v, func(u *follower.Upstream) {
 		if u.ID == "e0" {
 			change(u)
 		}
@@ -102,14 +102,13 @@
 	}
 	assert.Equal(t, len(used), 6, "%v", used)
 	short := &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}}
-	p.of("e3").own = Work{}
+	p.targetByInstance("e3").own = Work{}
 	c, _ := p.Choose(start, short)
-	assert.Equal(t, c.Upstream.ID, "e3") // the one that reads nothing
+	assert.Equal(t, c.Upstream.ID, "e3") // the only idle engine
 }
 
-// TestOthersWorkCounts: an engine that another host has given a long prompt is
-// not idle, until that host falls silent.
-func TestOthersWorkCounts(t *testing.T) {
+// TestPeerWorkCounts checks that work of another host counts until its reports expire.
+func TestPeerWorkCounts(t *testing.T) {
 	a, b := testPlacer(testView(2, 1)), testPlacer(testView(2, 1))
 	c, _ := a.Choose(start, askFor("x", "own"))
 	b.Heard(start, "a", a.Report())
@@ -117,16 +116,16 @@
 	assert.Assert(t, c.Upstream.ID != d.Upstream.ID)
 	d.Ticket.Done(start, ResultServed)
 	assert.Equal(t, b.Busy(c.Upstream.ID), 1)
-	b.Forget(start.Add(2 * peerLifetime))
+	b.Forget(start.Add(2 * peerReportTTL))
 	assert.Equal(t, b.Busy(c.Upstream.ID), 0)
 }
 
-func TestKeptPartsAreFetchedFromAnEngine(t *testing.T) {
+func TestCachedPartsAreFetchedFromEngine(t *testing.T) {
 	p := testPlacer(testView(2, 1))
 	first, _ := p.Choose(start, askFor("x", "own1"))
 	serve(p, start, first)
-	holder := p.of(first.Upstream.ID)
-	holder.own.Pending = 100000 // the holder is busy
+	holder := p.targetByInstance(first.Upstream.ID)
+	holder.own.Pending = 100000 // the engine that caches it is loaded
 	c, _ := p.Choose(start, askFor("x", "own2"))
 	assert.Assert(t, c.Upstream.ID != first.Upstream.ID)
 	assert.DeepEqual(t, c.Fetch, []string{first.Upstream.Address, ""})
@@ -138,36 +137,36 @@
 	choose := func(now time.Time) Choice {
 		c, verdict := p.Choose(now, askFor("x", "own"))
 		assert.Equal(t, verdict, Chosen)
-		c.Ticket.Done(now, ResultCaller) // it leaves before anything is read
+		c.Ticket.Done(now, ResultCaller) // the caller leaves before the prefill
 		return c
 	}
 	c := choose(start)
 	store := c.Save[0]
-	assert.Assert(t, store != "" && c.Save[1] == "") // the own part is nobody else's
+	assert.Assert(t, store != "" && c.Save[1] == "") // the last part is not shared
 	other := testPlacer(testView(1, 1))
 	same, _ := other.Choose(start, askFor("x", "own"))
-	assert.Equal(t, same.Save[0], store) // all hosts choose alike
+	assert.Equal(t, same.Save[0], store) // all hosts choose the same store
 	again := choose(start)
-	assert.Assert(t, again.Save == nil) // it is on its way
-	assert.Assert(t, again.Fetch == nil, "what is not known to lie there whole is not fetched")
+	assert.Assert(t, again.Save == nil) // a save is pending
+	assert.Assert(t, again.Fetch == nil, "a part that the store has not reported is not fetched")
 
 	name := PartName{Salt: saltOf("")(1), ID: "x"}
 	p.StoreHeard(start, store, StoreNews{Epoch: 1, Clock: 5_000_000, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
 	got := choose(start)
 	assert.DeepEqual(t, got.Fetch, []string{store, ""})
-	assert.Equal(t, got.Until, 5_000_000+fetchTime.Milliseconds())
+	assert.Equal(t, got.Until, 5_000_000+maxFetchTime.Milliseconds())
 
-	late := start.Add(p.useReplaced() + time.Second)
+	late := start.Add(p.replacedLifetime() + time.Second)
 	got = choose(late)
-	assert.Assert(t, got.Fetch == nil, "a host that hears nothing new fetches from no store")
+	assert.Assert(t, got.Fetch == nil, "a host without a current feed fetches from no store")
 
-	p.StoreHeard(start, store, StoreNews{Epoch: 2, Clock: 5_000_000}) // it has started anew
+	p.StoreHeard(start, store, StoreNews{Epoch: 2, Clock: 5_000_000}) // the store has restarted
 	got = choose(start)
 	assert.Assert(t, got.Fetch == nil)
 }
 
-// TestReplacedWeights: what was made with replaced weights is neither fetched
-// from stores nor saved, and is freed.
+// TestReplacedWeights checks that context of replaced weights is neither fetched from stores nor
+// saved, and is listed as unused.
 func TestReplacedWeights(t *testing.T) {
 	p := testPlacer(testView(1, 2, 1))
 	old := PartName{Salt: saltOf("")(1), ID: "x"}
@@ -182,19 +181,19 @@
 	assert.DeepEqual(t, freed, []Freed{{Address: "s1:1", Epoch: 1, Parts: []PartName{old}}})
 }
 
-func TestRenewedEnginesComeFirst(t *testing.T) {
+func TestRenewedEnginesArePreferred(t *testing.T) {
 	p := testPlacer(testView(3, 2, 1, 2, 1))
 	ask := askFor("x", "own")
 	c, _ := p.Choose(start, ask)
 	assert.Equal(t, c.Upstream.ID, "e1")
 	p.Renewing(map[string]renewer.Phase{"e1": renewer.PhaseNext})
-	p.of("e1").own = Work{}
+	p.targetByInstance("e1").own = Work{}
 	c, _ = p.Choose(start, ask)
 	assert.Assert(t, c.Upstream.ID != "e1")
 }
 
-// TestTwiceReplacedWeights: a version that has just been named must not make
-// engines acceptable whose weights were replaced long before.
+// TestTwiceReplacedWeights checks that a newly named version does not extend the use of weights
+// that had been replaced before.
 func TestTwiceReplacedWeights(t *testing.T) {
 	state := follower.New()
 	for i, v := range []uint64{1, 2, 3} {
@@ -203,14 +202,14 @@
 	v := testView(2, 3, 1, 2)
 	v.Named = state.View().Named
 	p := testPlacer(v)
-	p.of("e1").own.Pending = 100000 // the better one is busy for seconds
+	p.targetByInstance("e1").own.Pending = 100000 // the engine with the newer weights has a long backlog
 	ask := askFor("x", "own")
 	c, _ := p.Choose(start, ask)
 	assert.Equal(t, c.Upstream.ID, "e1")
 }
 
-// TestWalls: an isolated workspace finds nothing that others have left.
-func TestWalls(t *testing.T) {
+// TestIsolatedWorkspace checks that an isolated workspace does not use the cache of others.
+func TestIsolatedWorkspace(t *testing.T) {
 	p := testPlacer(testView(2, 1))
 	open, _ := p.Choose(start, askFor("x", "own"))
 	serve(p, start, open)
@@ -221,7 +220,7 @@
 	assert.Equal(t, c.Basis.Missing, 16800)
 }
 
-func TestUnreachedUpstreamsRest(t *testing.T) {
+func TestUnreachableUpstreamsBackOff(t *testing.T) {
 	p := testPlacer(testView(0, 1))
 	ask := &Ask{Service: "plain"}
 	c, _ := p.Choose(start, ask)
@@ -233,19 +232,19 @@
 	for _, tg := range p.targets {
 		tg.own = Work{}
 	}
-	later := start.Add(firstPause)
-	p.of(c.Upstream.ID).failing = 0
-	one, _ := p.Choose(later, &Ask{Service: "plain", Exclude: []string{other(c.Upstream.ID)}})
-	assert.Equal(t, one.Upstream.ID, c.Upstream.ID) // one request tries it
+	later := start.Add(initialBackoff)
+	p.targetByInstance(c.Upstream.ID).failureRate = 0
+	one, _ := p.Choose(later, &Ask{Service: "plain", Exclude: []string{otherPlain(c.Upstream.ID)}})
+	assert.Equal(t, one.Upstream.ID, c.Upstream.ID) // one request probes it
 	two, _ := p.Choose(later, ask)
-	assert.Equal(t, two.Upstream.ID, other(c.Upstream.ID)) // and no other until that has ended
+	assert.Equal(t, two.Upstream.ID, otherPlain(c.Upstream.ID)) // no other request goes there until the probe has ended
 }
 
-func other(id string) string {
+func otherPlain(id string) string {
 	return strings.NewReplacer("p0", "p1", "p1", "p0").Replace(id)
 }
 
-func TestSlowStoreIsLeftAlone(t *testing.T) {
+func TestSlowStoreIsAvoided(t *testing.T) {
 	p := testPlacer(testView(2, 1))
 	name := PartName{Salt: saltOf("")(1), ID: "x"}
 	p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
@@ -258,11 +257,11 @@
 	later := start.Add(time.Second)
 	p.Trust(later.Add(30 * time.Second))
 	c, _ = p.Choose(later.Add(30*time.Second), askFor("x", "own"))
-	assert.Assert(t, c.Fetch != nil, "a store that was slow is tried again")
+	assert.Assert(t, c.Fetch != nil, "a slow store is tried again later")
 }
 
-// TestGapsInStoreNews: a host that was told of later changes only says so, and
-// is whole again with a full report.
+// TestGapsInStoreNews checks that a host that lacks earlier changes of a store asks for a full
+// report and is complete with it.
 func TestGapsInStoreNews(t *testing.T) {
 	part := func(id string) StoreChange { return StoreChange{Part: PartName{Salt: "s", ID: id}, Tokens: 10} }
 	asker, p := testPlacer(testView(1, 1)), testPlacer(testView(1, 1))
@@ -275,7 +274,7 @@
 	}
 	assert.Equal(t, len(p.stores["s1:1"].held), 2)
 	assert.Assert(t, p.StoreTold(start, StoreReport{Address: "s1:1", News: StoreNews{Epoch: 1, From: 2, Next: 2}}))
-	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", News: StoreNews{Epoch: 9, From: 5, Next: 6}}), "another start of the store")
+	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", News: StoreNews{Epoch: 9, From: 5, Next: 6}}), "the store has restarted")
 	p.StoreTold(start, StoreReport{Address: "s1:1", Lost: true})
 	assert.Assert(t, !p.stores["s1:1"].up)
 }
--- a/placer/pool.go
+++ b/placer/pool.go
@@ -10,122 +10,122 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// member is an upstream of which no more is known than its entry says. A host that stands by has one
-// for each of 10,000; what it would learn of their load takes four times the memory and is made as
-// they are looked at.
+// member is a known upstream without load state. Load state takes much more memory and is created
+// on first use, since some hosts never need most of it.
 type member struct {
-	key      string // key is what Start names it.
-	upstream *follower.Upstream
-	hash     uint64
-	near     bool    // near tells that it is in this host's availability zone.
-	ours     bool    // ours tells that it belongs to this host's cell.
-	listed   bool    // listed tells that it stands in its pool: it takes new work.
-	target   *target // target is nil until it is looked at.
-
-	place, nearPlace int // place and nearPlace are where it stands in its pool.
+	// instance identifies this start of the upstream, as returned by follower.Upstream.Start.
+	instance  string
+	upstream  *follower.Upstream
+	hash      uint64
+	sameZone  bool    // sameZone reports that it is in this host's availability zone.
+	inOwnCell bool    // inOwnCell reports that it belongs to this host's cell.
+	listed    bool    // listed reports that it is in its service's pool, since it takes new work.
+	target    *target // target is nil until it is needed.
+
+	index, cellIndex int // index and cellIndex are its positions in the pool's all and cell.
 }
 
 // pool is the upstreams of a service that take new work.
 type pool struct {
-	all   []*member // all are in no order.
-	near  []*member // near are those of them that belong to this host's cell.
-	ring  []*member // ring has them by their hashes, but for those in added.
-	added []*member // added are to be put into the ring.
+	all   []*member // all is unordered.
+	cell  []*member // cell has the members that belong to this host's cell.
+	ring  []*member // ring has the members sorted by hash, without those in added.
+	added []*member // added are to be merged into ring.
 }
 
-// enlist has an upstream take new work or not; p.mu is held.
-func (p *Placer) enlist(s *member, takes bool) {
-	if s.listed == takes {
+// setListed adds an upstream to its pool or removes it; p.mu is held.
+func (p *Placer) setListed(m *member, takes bool) {
+	if m.listed == takes {
 		return
 	}
-	s.listed = takes
-	in := p.pools[s.upstream.Service]
-	if in == nil {
-		in = &pool{}
-		p.pools[s.upstream.Service] = in
+	m.listed = takes
+	pl := p.pools[m.upstream.Service]
+	if pl == nil {
+		pl = &pool{}
+		p.pools[m.upstream.Service] = pl
 	}
 	if takes {
-		s.ours = p.owns(s)
-		in.add(s)
+		m.inOwnCell = p.ownsMember(m)
+		pl.add(m)
 		return
 	}
-	in.remove(s)
+	pl.remove(m)
 }
 
-// owns tells that an upstream belongs to this host's cell.
-func (p *Placer) owns(s *member) bool {
-	return s.near && s.hash%uint64(max(p.cells, 1)) == uint64(p.cell)
+// ownsMember reports whether an upstream belongs to this host's cell.
+func (p *Placer) ownsMember(m *member) bool {
+	return m.sameZone && m.hash%uint64(max(p.cells, 1)) == uint64(p.cell)
 }
 
-// divide works out anew which upstreams belong to this host's cell; p.mu is held.
-func (p *Placer) divide() {
-	for _, s := range p.members {
-		s.ours = p.owns(s)
+// assignCells recomputes which upstreams belong to this host's cell; p.mu is held.
+func (p *Placer) assignCells() {
+	for _, m := range p.members {
+		m.inOwnCell = p.ownsMember(m)
 	}
-	for _, in := range p.pools {
-		in.near = in.near[:0]
-		for _, s := range in.all {
-			in.addNear(s)
+	for _, pl := range p.pools {
+		pl.cell = pl.cell[:0]
+		for _, m := range pl.all {
+			pl.addToCell(m)
 		}
 	}
 }
 
-func (l *pool) add(s *member) {
-	s.place = len(l.all)
-	l.all = append(l.all, s)
-	l.added = append(l.added, s)
-	l.addNear(s)
+func (l *pool) add(m *member) {
+	m.index = len(l.all)
+	l.all = append(l.all, m)
+	l.added = append(l.added, m)
+	l.addToCell(m)
 }
 
-func (l *pool) addNear(s *member) {
-	if s.ours {
-		s.nearPlace = len(l.near)
-		l.near = append(l.near, s)
+func (l *pool) addToCell(m *member) {
+	if m.inOwnCell {
+		m.cellIndex = len(l.cell)
+		l.cell = append(l.cell, m)
 	}
 }
 
-func (l *pool) remove(s *member) {
+func (l *pool) remove(m *member) {
 	last := l.all[len(l.all)-1]
-	l.all[s.place], last.place = last, s.place
+	l.all[m.index], last.index = last, m.index
 	l.all = l.all[:len(l.all)-1]
-	if s.ours {
-		last = l.near[len(l.near)-1]
-		l.near[s.nearPlace], last.nearPlace = last, s.nearPlace
-		l.near = l.near[:len(l.near)-1]
+	if m.inOwnCell {
+		last = l.cell[len(l.cell)-1]
+		l.cell[m.cellIndex], last.cellIndex = last, m.cellIndex
+		l.cell = l.cell[:len(l.cell)-1]
 	}
-	if i := slices.Index(l.added, s); i >= 0 {
+	if i := slices.Index(l.added, m); i >= 0 {
 		l.added = slices.Delete(l.added, i, i+1)
 		return
 	}
-	at, _ := slices.BinarySearchFunc(l.ring, s.hash, byHash)
-	if i := slices.Index(l.ring[at:], s); i >= 0 {
+	at, _ := slices.BinarySearchFunc(l.ring, m.hash, byHash)
+	if i := slices.Index(l.ring[at:], m); i >= 0 {
 		l.ring = slices.Delete(l.ring, at+i, at+i+1)
 	}
 }
 
-func byHash(s *member, hash uint64) int { return cmp.Compare(s.hash, hash) }
+func byHash(m *member, hash uint64) int { return cmp.Compare(m.hash, hash) }
 
-// fewAdded is the number up to which upstreams are put into the ring one by one.
-const fewAdded = 64
+// maxInserts is the number of added members up to which they are inserted one by one instead of
+// sorted.
+const maxInserts = 64
 
-// settle puts what was added into the ring.
-func (l *pool) settle() {
-	if len(l.added) > fewAdded {
+// mergeAdded merges the added members into the ring.
+func (l *pool) mergeAdded() {
+	if len(l.added) > maxInserts {
 		l.ring = append(l.ring, l.added...)
 		slices.SortFunc(l.ring, func(a, b *member) int { return cmp.Compare(a.hash, b.hash) })
 	} else {
-		for _, s := range l.added {
-			at, _ := slices.BinarySearchFunc(l.ring, s.hash, byHash)
-			l.ring = slices.Insert(l.ring, at, s)
+		for _, m := range l.added {
+			at, _ := slices.BinarySearchFunc(l.ring, m.hash, byHash)
+			l.ring = slices.Insert(l.ring, at, m)
 		}
 	}
 	l.added = l.added[:0]
 }
 
-// homes returns the two upstreams that a part belongs to: those that follow its place on the ring
-// of all hashes.
-func (l *pool) homes(key PartKey) (first, second *member) {
-	l.settle()
+// ringOwners returns the two members that follow a part's hash on the ring.
+func (l *pool) ringOwners(key PartKey) (first, second *member) {
+	l.mergeAdded()
 	if len(l.ring) == 0 {
 		return nil, nil
 	}
@@ -133,26 +133,26 @@
 	return l.ring[at%len(l.ring)], l.ring[(at+1)%len(l.ring)]
 }
 
-// look returns what is known of an upstream's load; p.mu is held.
-func (p *Placer) look(s *member) *target {
-	if s.target == nil {
-		s.target = p.newTarget(s)
-		p.targets[s.key] = s.target
+// targetOf returns the load state of a member, and creates it if needed; p.mu is held.
+func (p *Placer) targetOf(m *member) *target {
+	if m.target == nil {
+		m.target = p.newTarget(m)
+		p.targets[m.instance] = m.target
 		for _, w := range p.peers {
-			s.target.peers.add(w.work[s.key])
+			m.target.peers.add(w.work[m.instance])
 		}
 	}
-	return s.target
+	return m.target
 }
 
-// of returns what is known of the load of a start of an upstream; nil if there is none.
-func (p *Placer) of(start string) *target {
-	if t := p.targets[start]; t != nil {
+// targetByInstance returns the load state of an upstream instance; nil if there is none.
+func (p *Placer) targetByInstance(instance string) *target {
+	if t := p.targets[instance]; t != nil {
 		return t
 	}
-	for _, id := range []string{follower.IDOf(start), start} {
-		if s := p.members[id]; s != nil && s.key == start {
-			return p.look(s)
+	for _, id := range []string{follower.IDOf(instance), instance} {
+		if m := p.members[id]; m != nil && m.instance == instance {
+			return p.targetOf(m)
 		}
 	}
 	return nil
--- a/placer/progress.go
+++ b/placer/progress.go
@@ -8,123 +8,122 @@
 	"time"
 )
 
-// Parts that are being read. While nothing is kept yet, after a start, a loss or a renewal,
-// several requests want the same long part within the time that one engine takes to read
-// it. Read by each of them it costs the engines some 300 ms each time; fetched from the
-// first engine it takes 5 ms. So a request waits for a reading that is under way, if it is
-// on time nevertheless.
+// Sharing of running prefills. While a long part is cached nowhere, several requests may need it
+// within the time of one prefill. A request waits for a running prefill and fetches the part then,
+// if it can still be on time.
 const (
-	// awaitTokens is the least part that is waited for: 100 ms of reading.
-	awaitTokens = 4200
-	// awaitShare is how many times the time of reading all itself a request that would be
-	// late may take by waiting.
-	awaitShare = 1.25
-	// usualSlip is how many times the estimate a long reading takes among others, in the
-	// middle.
-	usualSlip = 1.2
-	// awaitLate is how far past its estimate a reading may come, as a part of the estimate
-	// and more.
-	awaitLate  = 0.5
-	awaitGrace = 30 * time.Millisecond
+	// minAwaitTokens is the least length of a part that is waited for.
+	minAwaitTokens = 4200
+	// maxAwaitFactor bounds the wait of a request that would be late, as a multiple of the time of
+	// prefilling the rest itself.
+	maxAwaitFactor = 1.25
+	// loadedPrefillFactor is the typical ratio of a long prefill's time to its estimate under
+	// load.
+	loadedPrefillFactor = 1.2
+	// awaitLateShare and awaitGrace bound how far past its estimate a prefill is waited for: a
+	// share of the estimate, and a constant.
+	awaitLateShare = 0.5
+	awaitGrace     = 30 * time.Millisecond
 )
 
-// Beginning says that an engine has been given a part to read.
-type Beginning struct {
+// PrefillStart reports that an engine has been given a part to prefill.
+type PrefillStart struct {
 	Key    PartKey       `cbor:"1,keyasint"`
-	Within time.Duration `cbor:"2,keyasint"` // Within is the estimated time until it has read it.
+	Within time.Duration `cbor:"2,keyasint"` // Within is the estimated time to the end of the prefill.
 }
 
-// progress is a reading that is under way.
-type progress struct {
-	end    time.Time     // end is when it is over by the estimate.
-	within time.Duration // within is how long it takes by the estimate.
-	ticket *Ticket       // ticket is that of the request that has the part read; nil if another host placed it.
+// prefill is a running prefill of a part.
+type prefill struct {
+	end    time.Time     // end is the estimated end.
+	within time.Duration // within is the estimated duration.
+	ticket *Ticket       // ticket is that of the request that prefills the part; nil if it is another host's.
 	done   chan struct{}
 }
 
-// begin notes that the request of a ticket has long parts read, and that other hosts
-// should know.
-func (p *Placer) begin(now time.Time, tk *Ticket, first int) {
+// startPrefills records the long parts that a ticket's request prefills, and reports them to other
+// hosts.
+func (p *Placer) startPrefills(now time.Time, tk *Ticket, first int) {
 	for i := first; i < len(tk.keys); i++ {
-		if tk.parts[i].Tokens < awaitTokens {
+		if tk.parts[i].Tokens < minAwaitTokens {
 			continue
 		}
-		b := Beginning{Key: tk.keys[i], Within: firstToken + time.Duration(usualSlip*float64(tk.expected))}
-		p.started(now, b, tk)
-		if len(p.begun) < maxPlaced {
-			p.begun = append(p.begun, b)
+		b := PrefillStart{Key: tk.keys[i], Within: firstTokenTime + time.Duration(loadedPrefillFactor*float64(tk.expected))}
+		p.prefillStarted(now, b, tk)
+		if len(p.prefillStarts) < maxQueuedReports {
+			p.prefillStarts = append(p.prefillStarts, b)
 		}
 	}
 }
 
-// started notes a reading. The one that ends first counts.
-func (p *Placer) started(now time.Time, b Beginning, tk *Ticket) {
+// prefillStarted records a running prefill. Of several for one part the earliest to end is kept.
+func (p *Placer) prefillStarted(now time.Time, b PrefillStart, tk *Ticket) {
 	end := now.Add(b.Within)
-	had := p.reading[b.Key]
-	if had != nil && had.end.After(now) && had.end.Before(end) {
+	prev := p.prefills[b.Key]
+	if prev != nil && prev.end.After(now) && prev.end.Before(end) {
 		return
 	}
-	if had != nil {
-		close(had.done)
+	if prev != nil {
+		close(prev.done)
 	}
-	p.reading[b.Key] = &progress{end: end, within: b.Within, ticket: tk, done: make(chan struct{})}
+	p.prefills[b.Key] = &prefill{end: end, within: b.Within, ticket: tk, done: make(chan struct{})}
 }
 
-// ended notes that a part was read, or that a request that had it read has ended without.
-func (p *Placer) ended(key PartKey, tk *Ticket) {
-	had := p.reading[key]
-	if had == nil || tk != nil && had.ticket != tk {
+// prefillEnded ends the wait for a part: any engine has prefilled it (tk is nil), or the request tk
+// ended before its prefill.
+func (p *Placer) prefillEnded(key PartKey, tk *Ticket) {
+	running := p.prefills[key]
+	if running == nil || tk != nil && running.ticket != tk {
 		return
 	}
-	close(had.done)
-	delete(p.reading, key)
+	close(running.done)
+	delete(p.prefills, key)
 }
 
-// readingAgain is the time that a request which would be late anyway may take: that of
-// reading the rest of its prompt at an idle engine, and a little more.
-func readingAgain(rest []Part) time.Duration {
+// awaitLimit returns the longest time to the first token for which a request that would be late
+// still waits: a multiple of prefilling the rest of its prompt at an idle engine.
+func awaitLimit(rest []Part) time.Duration {
 	tokens := 0
 	for _, part := range rest {
 		tokens += part.Tokens
 	}
-	return time.Duration(awaitShare * float64(firstToken+readTime(tokens)))
+	return time.Duration(maxAwaitFactor * float64(firstTokenTime+prefillTime(tokens)))
 }
 
-// Wait is a reading by another request that a request is to wait for.
+// Wait is another request's prefill to wait for.
 type Wait struct {
-	Read <-chan struct{} // Read is closed when it has ended.
-	Most time.Duration   // Most is how long to wait for that.
+	Done    <-chan struct{} // Done is closed when the prefill has ended.
+	Timeout time.Duration
 }
 
-// For waits until the reading has ended, is late, or ctx ends.
+// For waits until the prefill has ended, the timeout has passed or ctx is done.
 func (w Wait) For(ctx context.Context) {
-	late := time.NewTimer(w.Most)
-	defer late.Stop()
+	timeout := time.NewTimer(w.Timeout)
+	defer timeout.Stop()
 	select {
-	case <-w.Read:
-	case <-late.C:
+	case <-w.Done:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 }
 
-// wait returns what a request is to wait for; the zero value if there is nothing.
+// wait returns the prefill that a request should wait for; the zero value if there is none.
 func (p *Placer) wait(now time.Time, ask *Ask) Wait {
 	if ask.Prompt == nil || ask.Due.IsZero() {
 		return Wait{}
 	}
-	known := p.under(ask, p.usual(ask.Prompt.Model))
+	prompt := p.lookup(ask, p.usualWeights(ask.Prompt.Model))
 	parts := ask.Prompt.Parts
-	next := max(len(known.stored), known.sources[0].parts)
-	if next >= len(parts)-1 || parts[next].Tokens < awaitTokens {
+	next := max(len(prompt.stores), prompt.sources[0].parts)
+	if next >= len(parts)-1 || parts[next].Tokens < minAwaitTokens {
 		return Wait{}
 	}
-	under := p.reading[known.keys[next]]
-	if under == nil || !under.end.After(now) {
+	running := p.prefills[prompt.keys[next]]
+	if running == nil || !running.end.After(now) {
 		return Wait{}
 	}
-	left := under.end.Sub(now)
-	if first := left + LeastTime(ask.Prompt); first > ask.Due.Sub(now) && first > readingAgain(parts[next:]) {
+	left := running.end.Sub(now)
+	if first := left + LeastTime(ask.Prompt); first > ask.Due.Sub(now) && first > awaitLimit(parts[next:]) {
 		return Wait{}
 	}
-	return Wait{Read: under.done, Most: left + time.Duration(awaitLate*float64(under.within)) + awaitGrace}
+	return Wait{Done: running.done, Timeout: left + time.Duration(awaitLateShare*float64(running.within)) + awaitGrace}
 }
--- a/placer/progress_test.go
+++ b/placer/progress_test.go
@@ -12,30 +12,29 @@
 
 func closed(w Wait) bool {
 	select {
-	case <-w.Read:
+	case <-w.Done:
 		return true
 	default:
 		return false
 	}
 }
 
-// dueAsk is askFor a request that must have its first byte within a time.
+// dueAsk returns a request that must have its first byte within a time.
 func dueAsk(now time.Time, within time.Duration, shared, own string) *Ask {
 	ask := askFor(shared, own)
 	ask.Due = now.Add(within)
 	return ask
 }
 
-// TestReadingIsAwaited: a long part that an engine is reading is read by no other, on any
-// host: requests that begin with it wait, and fetch it then, unless they would be late by
-// waiting only.
-func TestReadingIsAwaited(t *testing.T) {
+// TestRunningPrefillIsAwaited checks that requests on any host wait for a running prefill of a
+// long part and fetch the part then, unless waiting would make them late.
+func TestRunningPrefillIsAwaited(t *testing.T) {
 	const within = 800 * time.Millisecond
 	v := testView(3, 1)
-	v.Named = nil // operators have named no weights yet
+	v.Named = nil // no weight version is named yet
 	a, b := testPlacer(v), testPlacer(v)
 	first, verdict := a.Choose(start, dueAsk(start, within, "x", "own"))
-	assert.Equal(t, verdict, Chosen, "nobody reads it yet")
+	assert.Equal(t, verdict, Chosen, "no prefill is running")
 	b.Heard(start, "a", a.Changes())
 	now := start.Add(100 * time.Millisecond)
 	var waits []*Ask
@@ -43,13 +42,13 @@
 		ask := dueAsk(now, within, "x", "own2")
 		_, verdict = p.Choose(now, ask)
 		assert.Equal(t, verdict, Awaits)
-		assert.Assert(t, !closed(ask.Wait) && ask.Wait.Most < time.Second)
+		assert.Assert(t, !closed(ask.Wait) && ask.Wait.Timeout < time.Second)
 		waits = append(waits, ask)
 
 		_, verdict = p.Choose(now, dueAsk(now, 100*time.Millisecond, "x", "own3"))
-		assert.Equal(t, verdict, Awaits, "it would be late also by reading itself")
+		assert.Equal(t, verdict, Awaits, "it would be late with its own prefill too")
 		other, verdict := p.Choose(now, dueAsk(now, within, "y"+string(rune(len(waits))), "own4"))
-		assert.Equal(t, verdict, Chosen, "nobody reads that one")
+		assert.Equal(t, verdict, Chosen, "no prefill of this part is running")
 		other.Ticket.Done(now, ResultFailed)
 	}
 	first.Ticket.First(now)
@@ -61,7 +60,7 @@
 		assert.Equal(t, c.Basis.Missing, 4000)
 	}
 
-	// A request that ends without an answer frees those that wait on its host.
+	// A request that ends before its prefill ends the wait of others on its host.
 	second, _ := a.Choose(now, dueAsk(now, within, "z", "own"))
 	ask := dueAsk(now, within, "z", "own2")
 	_, verdict = a.Choose(now, ask)
--- a/placer/prompt.go
+++ b/placer/prompt.go
@@ -5,17 +5,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Part is a piece of a prompt that other prompts may begin with as well.
+// Part is a segment of a prompt that other prompts may share as a prefix.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt names what an engine is to read.
+// Prompt describes the input of an engine.
 type Prompt struct {
 	Model  string
-	Parts  []Part // Parts are in order; the last is the request's own or its session's.
-	Output int    // Output is the largest number of tokens to generate.
+	Parts  []Part // Parts are in order; the last belongs to the request or its session alone.
+	Output int    // Output is the maximum number of tokens to generate.
 }
 
 // Tokens returns the length of the prompt.
@@ -27,13 +27,12 @@
 	return sum
 }
 
-// PartKey names a part under a salt. It is a hash, so that hosts can tell each
-// other of many; two parts with one key cost a reading.
+// PartKey is the hash of a part's name. A collision costs a prefill.
 type PartKey uint64
 
 // keyOf returns the key of a part.
 func keyOf(name PartName) PartKey {
-	var d xxhash.Digest // on the stack: a joined text would be an allocation for each part
+	var d xxhash.Digest // hashes without allocating a joined string
 	d.Reset()
 	_, _ = d.WriteString(name.Salt) // it never fails
 	_, _ = d.WriteString("/")
@@ -49,7 +48,7 @@
 	return keys
 }
 
-// rendezvous ranks upstreams for a key: the highest is every host's first guess.
+// rendezvous returns an upstream's rank for a key (rendezvous hashing). The highest rank wins.
 func rendezvous(key PartKey, upstream uint64) uint64 {
 	x := uint64(key) ^ upstream
 	x ^= x >> 33
--- a/placer/salt.go
+++ b/placer/salt.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Salt sets apart kept context that must not be shared.
+// Salt separates cached context that must not be shared.
 type Salt struct {
 	Model     string
-	Weights   uint64 // Weights is the weight version that made the context.
-	Workspace string // Workspace is set where the workspace shares with no other.
+	Weights   uint64 // Weights is the weight version that computed the context.
+	Workspace string // Workspace is set for a workspace that is isolated from others.
 }
 
-// String returns the salt as engines and stores know it.
+// String returns the salt in the format that engines and stores use.
 func (s Salt) String() string {
 	return strconv.FormatUint(s.Weights, 10) + "/" + s.Model + "/" + s.Workspace
 }
 
-// ParseSalt reads the text of a salt and reports whether it is one.
+// ParseSalt parses the text of a salt and reports whether it is valid.
 func ParseSalt(text string) (Salt, bool) {
 	weights, rest, ok := strings.Cut(text, "/")
 	n, err := strconv.ParseUint(weights, 10, 64)
--- a/placer/saver_test.go
+++ b/placer/saver_test.go
@@ -13,12 +13,12 @@
 	"amaranthgate.example/amaranthgate/matcher"
 )
 
-// TestSavesByLinkAndRoom: of two stores the one with the faster link gets more parts, however
-// little room it has, and ever fewer of them the less is free; a full one gets none.
-func TestSavesByLinkAndRoom(t *testing.T) {
+// TestSavesAreWeightedByLinkAndRoom checks that a store's share of the saves follows its link
+// rate and its free share, and that a full store gets none.
+func TestSavesAreWeightedByLinkAndRoom(t *testing.T) {
 	for _, c := range []struct {
-		used     float64 // used is the part of the fast store's room that is taken.
-		from, to float64 // from and to bound its share of the parts.
+		used     float64 // used is the fill level of the fast store.
+		from, to float64 // from and to bound its share of the saves.
 	}{
 		{0, 0.65, 0.75}, // 70 of 100 Gbit/s
 		{0.5, 0.48, 0.6},
@@ -33,7 +33,7 @@
 		p.stores["fast:1"].used = int(c.used * 200_000)
 		fast, all := 0, 1000
 		for i := range all {
-			if p.saver(start, &Ask{}, PartName{Salt: "s", ID: fmt.Sprint(i)}, 100) == p.stores["fast:1"] {
+			if p.saveTarget(start, &Ask{}, PartName{Salt: "s", ID: fmt.Sprint(i)}, 100) == p.stores["fast:1"] {
 				fast++
 			}
 		}
@@ -42,7 +42,8 @@
 	}
 }
 
-// viewOfStores has a small store and a roomy one, whose links have so many Mbit/s.
+// viewOfStores returns a view with a small store and a large one with the given link rates in
+// Mbit/s.
 func viewOfStores(fast, roomy float64) *follower.View {
 	v := testView(1, 1)
 	v.Table = matcher.New(matcher.Parts{Services: []matcher.Service{
@@ -53,7 +54,7 @@
 	return v
 }
 
-// TestSavesWithoutLinks: where nobody names the stores' links, hosts still choose alike.
+// TestSavesWithoutLinks checks that hosts choose the same store if no link rates are configured.
 func TestSavesWithoutLinks(t *testing.T) {
 	v := viewOfStores(0, 0)
 	a, b := testPlacer(v), testPlacer(v)
@@ -65,7 +66,7 @@
 			for address := range p.stores {
 				p.StoreHeard(start, address, StoreNews{Epoch: 1, Next: 1, Clock: 1})
 			}
-			addresses[j] = p.saver(start, &Ask{}, name, 100).service.Address
+			addresses[j] = p.saveTarget(start, &Ask{}, name, 100).service.Address
 		}
 		assert.Equal(t, addresses[0], addresses[1])
 		chosen[addresses[0]]++
--- a/placer/silence_test.go
+++ b/placer/silence_test.go
@@ -29,15 +29,15 @@
 	_, faults := strictjson.Decode(text, &cases)
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	for _, c := range cases {
-		t.Run(c.Name, func(t *testing.T) { playSilence(t, c) })
+		t.Run(c.Name, func(t *testing.T) { runSilenceCase(t, c) })
 	}
 }
 
-func playSilence(t *testing.T, c silenceCase) {
+func runSilenceCase(t *testing.T, c silenceCase) {
 	p := testPlacer(testView(5, 1))
 	engines := []string{"e0", "e1", "e2", "e3", "e4"}
-	sent := make(map[string]*Ticket) // the newest request of each engine
-	told := 0
+	sent := make(map[string]*Ticket) // the latest request of each engine
+	callbacks := 0
 	now := start
 	for _, step := range c.Steps {
 		fields := append(strings.Fields(step), "")
@@ -55,7 +55,7 @@
 			others := slices.DeleteFunc(slices.Clone(engines), func(e string) bool { return e == id })
 			choice, verdict := p.Choose(now, &Ask{Service: "engines", SaltOf: saltOf(""), Exclude: others, Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}})
 			assert.Equal(t, verdict, Chosen)
-			choice.Ticket.OnSilent(func() { told++ })
+			choice.Ticket.OnSilent(func() { callbacks++ })
 			sent[id] = choice.Ticket
 		case "first":
 			sent[id].First(now)
@@ -67,42 +67,41 @@
 	}
 	silent := []string{}
 	for _, id := range engines {
-		if p.of(id).suspect(now) {
+		if p.targetByInstance(id).suspect(now) {
 			silent = append(silent, id)
 		}
 	}
 	assert.DeepEqual(t, silent, c.Silent)
-	assert.Equal(t, told, c.Told)
+	assert.Equal(t, callbacks, c.Told)
 }
 
-// TestPatience: an upstream that has to fetch first may take longer without a sign.
-func TestPatience(t *testing.T) {
+// TestSilenceTimeout checks that the timeout is longer if the upstream has to fetch first.
+func TestSilenceTimeout(t *testing.T) {
 	reading := &Ticket{expected: 100 * time.Millisecond}
 	fetching := &Ticket{expected: 100 * time.Millisecond, fetching: true}
 	streaming := &Ticket{expected: time.Second, fetching: true, first: true}
-	assert.Equal(t, reading.patience(), 700*time.Millisecond)
-	assert.Equal(t, fetching.patience(), 1450*time.Millisecond)
-	assert.Equal(t, streaming.patience(), 900*time.Millisecond)
+	assert.Equal(t, reading.silenceTimeout(), 700*time.Millisecond)
+	assert.Equal(t, fetching.silenceTimeout(), 1450*time.Millisecond)
+	assert.Equal(t, streaming.silenceTimeout(), 900*time.Millisecond)
 }
 
-// TestStandingStillTeachesNothing: how long a request took that was under way while this host
-// stood still says nothing of its upstream, whether the host looks about first after that or
-// the answer is read first.
-func TestStandingStillTeachesNothing(t *testing.T) {
-	const still = 3 * time.Second
-	for _, lookFirst := range []bool{true, false} {
+// TestStalledHostLearnsNothing checks that the time of a request in flight during a stall of this
+// process is ignored, whether Watch runs or the answer is read first.
+func TestStalledHostLearnsNothing(t *testing.T) {
+	const stall = 3 * time.Second
+	for _, watchFirst := range []bool{true, false} {
 		p := testPlacer(testView(1, 1))
 		p.Watch(start)
 		c, verdict := p.Choose(start, askFor("shared", "own"))
 		assert.Equal(t, verdict, Chosen)
-		hold := c.Ticket.target.hold
-		awake := start.Add(still)
-		if lookFirst {
-			p.Watch(awake)
+		serviceTime := c.Ticket.target.serviceTime
+		resumed := start.Add(stall)
+		if watchFirst {
+			p.Watch(resumed)
 		}
-		c.Ticket.First(awake)
-		c.Ticket.Done(awake, ResultServed)
-		assert.Equal(t, c.Ticket.target.slow.factor(awake), 1.0)
-		assert.Equal(t, c.Ticket.target.hold, hold)
+		c.Ticket.First(resumed)
+		c.Ticket.Done(resumed, ResultServed)
+		assert.Equal(t, c.Ticket.target.slowness.factor(resumed), 1.0)
+		assert.Equal(t, c.Ticket.target.serviceTime, serviceTime)
 	}
 }
--- a/placer/sources.go
+++ b/placer/sources.go
@@ -5,34 +5,34 @@
 
 import "slices"
 
-// source is an engine that is believed to keep the beginning of a prompt.
+// source is an engine that is believed to cache a prefix of a prompt.
 type source struct {
-	target *target // target is nil if no engine keeps any of it.
-	parts  int     // parts is the number of leading parts that it keeps.
+	target *target // target is nil if no engine caches any of it.
+	parts  int     // parts is the number of leading parts that it caches.
 	tokens int
 }
 
-// sources are the two engines that keep the longest beginning of a prompt, the longest
-// first: the second serves where the first itself is to run it.
+// sources are the two engines that cache the longest prefix of a prompt, the longest first. The
+// second is the source if the first runs the request itself.
 type sources [2]source
 
-// mostKeepers bounds how many engines are looked at for each part. Short first parts, which many
-// prompts begin with, are kept by thousands of engines: any of them does as a source. Those that
-// were the last to read a part come first: they are the last to drop it.
-const mostKeepers = 64
+// maxHoldersPerPart bounds how many engines are considered for each part, since short first parts
+// may be cached by thousands. The most recent are considered first: they evict the part last.
+const maxHoldersPerPart = 64
 
-// sources finds the engines of a weight version that keep the most of a prompt, from the deepest
-// part on. One that does not answer is none: asking it costs the engine some hundred milliseconds.
-func (p *Placer) sources(ask *Ask, weights uint64, keys []PartKey) sources {
+// findSources finds the engines of a weight version that cache the longest prefixes of a prompt,
+// from the deepest part on. Suspect engines are left out, since a fetch from one that does not
+// answer is slow.
+func (p *Placer) findSources(ask *Ask, weights uint64, keys []PartKey) sources {
 	var s sources
 	for i := len(keys) - 1; i >= 0 && s[1].parts <= i; i-- {
-		of := p.keepers[keys[i]]
-		for _, t := range slices.Backward(of[max(0, len(of)-mostKeepers):]) {
+		holders := p.cacheIndex[keys[i]]
+		for _, t := range slices.Backward(holders[max(0, len(holders)-maxHoldersPerPart):]) {
 			if !t.listed || t.upstream.Service != ask.Service || t.suspect(ask.now) ||
 				t.upstream.Weights[ask.Prompt.Model] != weights || s.has(t) {
 				continue
 			}
-			n, tokens := t.kept.leading(keys, ask.Prompt.Parts)
+			n, tokens := t.cache.leading(keys, ask.Prompt.Parts)
 			s.add(source{target: t, parts: n, tokens: tokens})
 		}
 	}
@@ -50,8 +50,8 @@
 	}
 }
 
-// but returns the best source for an engine, which is another one.
-func (s *sources) but(t *target) source {
+// excluding returns the best source other than the engine t.
+func (s *sources) excluding(t *target) source {
 	if s[0].target == t {
 		return s[1]
 	}
--- a/placer/sources_test.go
+++ b/placer/sources_test.go
@@ -13,19 +13,19 @@
 	"amaranthgate.example/amaranthgate/internal/strictjson"
 )
 
-// sourceCase is what is believed of engines and stores, and what follows.
+// sourceCase is the assumed content of engines and stores, and the expected plan of a choice.
 type sourceCase struct {
 	Name      string
-	Engine    []string // Engine lists the parts that the engine itself keeps.
+	Engine    []string // Engine lists the parts that the engine itself caches.
 	Other     []string
 	Store     []string
-	Waiting   int // Waiting are the tokens in transfer at the store.
+	Waiting   int // Waiting is the number of tokens in transfer at the store.
 	Objective duration.Duration
 	Fetch     []string
 	Missing   int
 }
 
-// TestSources places a prompt at an engine, by the cases of a data file.
+// TestSources checks the sources of a prompt's parts.
 func TestSources(t *testing.T) {
 	text, err := os.ReadFile("testdata/sources.jsonc")
 	assert.NilError(t, err)
@@ -39,10 +39,10 @@
 			tokens := map[string]int{"a": 500, "b": 8000}
 			name := func(id string) PartName { return PartName{Salt: saltOf("")(1), ID: id} }
 			for _, id := range c.Engine {
-				p.of("e0").kept.put(start, keyOf(name(id)), tokens[id], 60000)
+				p.targetByInstance("e0").cache.put(start, keyOf(name(id)), tokens[id], 60000)
 			}
 			for _, id := range c.Other {
-				p.of("e1").kept.put(start, keyOf(name(id)), tokens[id], 60000)
+				p.targetByInstance("e1").cache.put(start, keyOf(name(id)), tokens[id], 60000)
 			}
 			for _, id := range c.Store {
 				p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name(id), Tokens: tokens[id]}}})
--- a/placer/store.go
+++ b/placer/store.go
@@ -12,30 +12,30 @@
 	"amaranthgate.example/amaranthgate/matcher"
 )
 
-// PartName names a part as stores and engines know it.
+// PartName identifies a part at stores and engines.
 type PartName struct {
 	Salt string `cbor:"1,keyasint"`
 	ID   string `cbor:"2,keyasint"`
 }
 
-// store is a store of kept context with what is known of it.
+// store is the state of a KV cache store.
 type store struct {
-	service matcher.Store
-	hash    uint64
-	near    bool
-	pace    pace
-	own     Work // own and peers are transfers under way.
-	peers   Work
-	emptied bool // emptied tells that its availability zone is evacuated: nothing is saved there.
-	up      bool // up tells that the store has answered lately.
-	epoch   int64
-	next    int64            // next is the number after the last change that is known.
-	held    map[PartName]int // held has the tokens of parts that lie there whole.
-	used    int
-	saving  map[PartName]saving
-}
-
-// updateStores takes over the stores of a view; p.mu is held.
+	service      matcher.Store
+	hash         uint64
+	sameZone     bool
+	pace         pace
+	own          Work // own and peers are transfers in flight.
+	peers        Work
+	evacuated    bool // evacuated reports that its availability zone is evacuated: nothing is saved there.
+	up           bool // up is false before the first answer and while the store does not answer.
+	epoch        int64
+	next         int64            // next is the number after the last known change.
+	held         map[PartName]int // held has the tokens of parts that the store holds completely.
+	used         int
+	pendingSaves map[PartName]pendingSave
+}
+
+// updateStores applies the stores of a view; p.mu is held.
 func (p *Placer) updateStores(view *follower.View) {
 	if view.Table == nil {
 		return
@@ -48,18 +48,18 @@
 		}
 		st := before[s.Store.Address]
 		if st == nil {
-			st = &store{hash: xxhash.Sum64String(s.Store.Address), held: make(map[PartName]int), saving: make(map[PartName]saving)}
+			st = &store{hash: xxhash.Sum64String(s.Store.Address), held: make(map[PartName]int), pendingSaves: make(map[PartName]pendingSave)}
 		}
 		st.service = *s.Store
 		st.pace.nominal = float64(transferTime(1000, p.bytesPerToken(view), s.Store.LinkMbps)) / 1000
-		st.emptied = view.Evacuated[s.Store.AvailabilityZone]
-		st.near = s.Store.AvailabilityZone == p.opts.AvailabilityZone
+		st.evacuated = view.Evacuated[s.Store.AvailabilityZone]
+		st.sameZone = s.Store.AvailabilityZone == p.opts.AvailabilityZone
 		p.stores[s.Store.Address] = st
 	}
-	p.sumStores()
+	p.sumPeerTransfers()
 }
 
-// bytesPerToken is the size of kept context, which is the same for all engines.
+// bytesPerToken returns the KV cache size of a token, which is the same for all engines.
 func (p *Placer) bytesPerToken(view *follower.View) int {
 	for _, s := range view.Table.Services() {
 		if s.Engine != nil {
@@ -69,32 +69,35 @@
 	return 0
 }
 
-// StoreChange is a part that a store has taken in whole, or has given up.
+// StoreChange is a part that a store has completed or dropped.
 type StoreChange struct {
 	Part    PartName `cbor:"1,keyasint"`
 	Tokens  int      `cbor:"2,keyasint,omitempty"`
 	Dropped bool     `cbor:"3,keyasint,omitempty"`
 }
 
-// StoreNews is what a store says of itself.
+// StoreNews is a store's list of changes.
 type StoreNews struct {
-	Epoch   int64         `cbor:"1,keyasint"`           // Epoch changes when the store starts anew.
-	Clock   int64         `cbor:"2,keyasint"`           // Clock is the time on the upstreams' clock, in milliseconds.
-	Full    bool          `cbor:"3,keyasint,omitempty"` // Full tells that Changes are all that it holds.
-	From    int64         `cbor:"4,keyasint"`           // From is the number of the first change that was asked for.
-	Next    int64         `cbor:"5,keyasint"`           // Next is the number after the last change covered.
+	Epoch int64 `cbor:"1,keyasint"` // Epoch changes when the store restarts.
+	// Clock is the time on the upstreams' clock, in milliseconds.
+	Clock int64 `cbor:"2,keyasint"`
+	// Full reports that Changes are all parts that the store holds.
+	Full bool `cbor:"3,keyasint,omitempty"`
+	// From is the number of the first change that was asked for.
+	From    int64         `cbor:"4,keyasint"`
+	Next    int64         `cbor:"5,keyasint"` // Next is the number after the last change covered.
 	Changes []StoreChange `cbor:"6,keyasint,omitempty"`
 }
 
-// StoreReport is what one host has heard of a store, for the others.
+// StoreReport is what a host sends to the others about a store.
 type StoreReport struct {
 	Address string    `cbor:"1,keyasint"`
-	Lost    bool      `cbor:"2,keyasint,omitempty"` // Lost tells that the store does not answer.
+	Lost    bool      `cbor:"2,keyasint,omitempty"` // Lost reports that the store does not answer.
 	News    StoreNews `cbor:"3,keyasint,omitempty"`
 }
 
-// StoreTold takes in what another host has heard. It reports false if this host
-// lacks changes before these, and must ask for all.
+// StoreTold applies another host's report. It returns false if this host lacks earlier changes and
+// must ask for a full report.
 func (p *Placer) StoreTold(now time.Time, r StoreReport) bool {
 	if r.Lost {
 		p.StoreLost(r.Address)
@@ -111,8 +114,7 @@
 	return true
 }
 
-// StoreReports returns all that is known of stores, for a host that has just
-// started.
+// StoreReports returns full reports of all stores, for a host that has just started.
 func (p *Placer) StoreReports() []StoreReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,7 +132,7 @@
 	return out
 }
 
-// StoreHeard takes in what a store says.
+// StoreHeard applies a store's own list of changes.
 func (p *Placer) StoreHeard(now time.Time, address string, n StoreNews) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +148,7 @@
 		st.used = 0
 		clear(st.held)
 		if !n.Full {
-			clear(st.saving)
+			clear(st.pendingSaves)
 		}
 	}
 	st.next = max(st.next, n.Next)
@@ -157,7 +159,7 @@
 		if !c.Dropped {
 			st.held[c.Part] = c.Tokens
 			st.used += c.Tokens
-			delete(st.saving, c.Part)
+			delete(st.pendingSaves, c.Part)
 		}
 	}
 }
@@ -167,7 +169,7 @@
 	delete(st.held, name)
 }
 
-// StoreLost says that a store does not answer.
+// StoreLost records that a store does not answer.
 func (p *Placer) StoreLost(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,38 +181,36 @@
 // clock is a reading of the upstreams' clock.
 type clock struct {
 	millis int64
-	at     time.Time // at is when the reading arrived; it was made shortly before.
+	at     time.Time // at is when the reading arrived.
 }
 
-// fetchTime bounds a transfer from a store, from the choice of an upstream on.
-// Transfers take 33 to 150 ms; one that waits for much longer comes too late for
-// the request's objective anyway.
-const fetchTime = 1500 * time.Millisecond
+// maxFetchTime bounds a fetch from a store, from the choice of an upstream on.
+const maxFetchTime = 1500 * time.Millisecond
 
-// until returns when transfers that are ordered now must have ended, on the
-// upstreams' clock; 0 if that is not known.
-func (p *Placer) until(now time.Time) int64 {
+// fetchDeadline returns the deadline of fetches that are planned now, on the upstreams' clock; 0 if
+// that clock is not known.
+func (p *Placer) fetchDeadline(now time.Time) int64 {
 	if p.clock.millis == 0 {
 		return 0
 	}
-	return p.clock.millis + now.Sub(p.clock.at).Milliseconds() + fetchTime.Milliseconds()
+	return p.clock.millis + now.Sub(p.clock.at).Milliseconds() + maxFetchTime.Milliseconds()
 }
 
-// Trust tells that the operators' feed was current at a time.
+// Trust records that the operators' feed was current at a time.
 func (p *Placer) Trust(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.current = at
+	p.feedCurrentAt = at
 }
 
-// Freed is what a store holds under salts that are no longer used.
+// Freed lists what a store holds under salts that are no longer used.
 type Freed struct {
 	Address string
 	Epoch   int64
 	Parts   []PartName
 }
 
-// Unused returns what stores hold under salts that keep does not want.
+// Unused returns what stores hold under salts for which keep returns false.
 func (p *Placer) Unused(keep func(salt string) bool) []Freed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,14 +229,14 @@
 	return out
 }
 
-// holder returns the store that holds a part, a near one first.
+// holder returns the store that holds a part; one in this host's zone is preferred.
 func (p *Placer) holder(name PartName) *store {
 	var best *store
 	for _, st := range p.stores {
 		if st.held[name] == 0 || !st.up {
 			continue
 		}
-		if best == nil || st.near && !best.near || st.near == best.near && st.hash < best.hash {
+		if best == nil || st.sameZone && !best.sameZone || st.sameZone == best.sameZone && st.hash < best.hash {
 			best = st
 		}
 	}
--- a/placer/target.go
+++ b/placer/target.go
@@ -10,11 +10,12 @@
 	"amaranthgate.example/amaranthgate/renewer"
 )
 
-// Work is what hosts have under way at an upstream.
+// Work is the load of requests in flight at an upstream.
 type Work struct {
 	Requests int `cbor:"1,keyasint,omitempty"`
-	Pending  int `cbor:"2,keyasint,omitempty"` // Pending are prompt tokens that are still to be read.
-	Memory   int `cbor:"3,keyasint,omitempty"` // Memory are tokens of requests that have not ended.
+	Pending  int `cbor:"2,keyasint,omitempty"` // Pending is the number of prompt tokens still to prefill.
+	// Memory is the number of tokens of requests that have not ended.
+	Memory int `cbor:"3,keyasint,omitempty"`
 }
 
 func (w *Work) add(o Work) {
@@ -29,79 +30,82 @@
 	w.Memory -= o.Memory
 }
 
-// target is an upstream with what is known of its load.
+// target is an upstream with its load state.
 type target struct {
 	*member
 	engine *matcher.Engine // engine is nil for plain services.
 
-	own     Work
-	peers   Work
-	failing float64       // failing is the recent share of requests that failed.
-	hold    time.Duration // hold is how long a request of a plain service takes, smoothed.
+	own         Work
+	peers       Work
+	failureRate float64       // failureRate is smoothed.
+	serviceTime time.Duration // serviceTime is the smoothed time of a request at a plain service.
 
-	bears      float64       // bears is how many requests a second it bears while it is cold; 0 if any.
-	coldFor    time.Duration // coldFor is how long it is cold after a start.
-	guarded    time.Time     // guarded is until when it may be cold although nobody says so.
-	share      int           // share is this host's part of what it bears, as of shareRound.
-	shareRound int
-	sent       []time.Time // sent is when this host last sent requests there.
+	// coldLimit is its limit of requests a second while it is cold; 0 if there is none.
+	coldLimit      float64
+	coldDuration   time.Duration // coldDuration is how long it is cold after a start.
+	maybeColdUntil time.Time     // maybeColdUntil is until when it may be cold after an unreported restart.
+	share          int           // share is this host's share of coldLimit, as of shareVersion.
+	shareVersion   int
+	sent           []time.Time // sent has the times of this host's latest requests.
 
-	slow slowness // slow is how an engine's pace compares with the estimate.
+	slowness slowness
 
-	tickets      map[*Ticket]struct{} // tickets are this host's requests under way.
-	eased        time.Time            // eased is when it last had more room than before.
-	sign         time.Time            // sign is the last sign of life.
+	tickets      map[*Ticket]struct{} // tickets are this host's requests in flight.
+	freedAt      time.Time            // freedAt is when it last had more room than before.
+	lastActivity time.Time            // lastActivity is when bytes or an end of an answer last arrived.
 	suspectUntil time.Time
-	pause        time.Duration
+	backoff      time.Duration
 	probing      bool
-	phase        renewer.Phase // phase tells that the engine loads weights or is about to.
-	kept         keptSet
+	phase        renewer.Phase // phase is set while the engine loads weights or is about to.
+	cache        cacheEstimate
 }
 
-// work is what all hosts have under way there.
+// work returns the work of all hosts.
 func (t *target) work() Work {
 	w := t.own
 	w.add(t.peers)
 	return w
 }
 
-// Weights of smoothing and bounds of suspicion.
+// Smoothing weights and backoff.
 const (
-	failWeight   = 0.1                    // failWeight follows a change within about ten requests.
-	holdWeight   = 0.1                    // holdWeight does the same for times.
-	firstHold    = 15 * time.Millisecond  // firstHold is assumed before the first answer.
-	firstPause   = 500 * time.Millisecond // firstPause is how long an upstream that could not be reached rests.
-	longestPause = 4 * time.Second
+	failureWeight      = 0.1 // failureWeight smooths over about ten requests.
+	serviceTimeWeight  = 0.1
+	initialServiceTime = 15 * time.Millisecond // initialServiceTime is assumed before the first answer.
+	// initialBackoff is the first pause after a connection failure.
+	initialBackoff = 500 * time.Millisecond
+	maxBackoff     = 4 * time.Second
 )
 
 func (t *target) succeeded(now time.Time) {
-	if t.pause > 0 {
-		t.guarded = now.Add(coldGuard)
+	if t.backoff > 0 {
+		t.maybeColdUntil = now.Add(coldRecovery)
 	}
-	t.failing -= failWeight * t.failing
-	t.suspectUntil, t.pause, t.probing = time.Time{}, 0, false
+	t.failureRate -= failureWeight * t.failureRate
+	t.suspectUntil, t.backoff, t.probing = time.Time{}, 0, false
 }
 
-// took learns how long a request takes.
-func (t *target) took(d time.Duration) { t.hold += time.Duration(holdWeight * float64(d-t.hold)) }
+// observeServiceTime merges the time of a request.
+func (t *target) observeServiceTime(d time.Duration) {
+	t.serviceTime += time.Duration(serviceTimeWeight * float64(d-t.serviceTime))
+}
 
 func (t *target) failed() {
-	t.failing += failWeight * (1 - t.failing)
+	t.failureRate += failureWeight * (1 - t.failureRate)
 	t.probing = false
 }
 
-// unreached keeps new work away for a pause that grows with each failure.
-func (t *target) unreached(now time.Time) {
+// markUnreachable starts a backoff, which doubles with each failure.
+func (t *target) markUnreachable(now time.Time) {
 	t.failed()
 	if now.Before(t.suspectUntil) {
-		return // requests that were under way fail together
+		return // requests in flight fail together
 	}
-	t.pause = min(longestPause, max(firstPause, 2*t.pause))
-	t.suspectUntil = now.Add(t.pause)
+	t.backoff = min(maxBackoff, max(initialBackoff, 2*t.backoff))
+	t.suspectUntil = now.Add(t.backoff)
 }
 
-// suspect tells that an upstream rests, or is being tried by one request after
-// its pause.
+// suspect reports whether an upstream is in backoff, or is being probed by one request after it.
 func (t *target) suspect(now time.Time) bool {
-	return now.Before(t.suspectUntil) || t.pause > 0 && t.probing
+	return now.Before(t.suspectUntil) || t.backoff > 0 && t.probing
 }
--- a/placer/ticket.go
+++ b/placer/ticket.go
@@ -5,44 +5,46 @@
 
 import "time"
 
-// Result says how a request ended at an upstream.
+// Result is how a request ended at an upstream.
 type Result string
 
 const (
-	ResultServed    Result = "Served"
-	ResultFailed    Result = "Failed"    // ResultFailed is an answer or a break that counts against the upstream.
-	ResultRefused   Result = "Refused"   // ResultRefused says that the upstream was full or not the one expected.
-	ResultUnreached Result = "Unreached" // ResultUnreached says that no connection stood.
-	ResultCaller    Result = "Caller"    // ResultCaller says that the caller left; it tells nothing of the upstream.
+	ResultServed Result = "Served"
+	ResultFailed Result = "Failed" // ResultFailed is an error that counts against the upstream.
+	// ResultRefused means that the upstream was full or not the expected instance.
+	ResultRefused   Result = "Refused"
+	ResultUnreached Result = "Unreached" // ResultUnreached means that no connection was established.
+	// ResultCaller means that the caller left; it says nothing of the upstream.
+	ResultCaller Result = "Caller"
 )
 
-// Ticket is one request under way at an upstream.
+// Ticket is a request in flight at an upstream.
 type Ticket struct {
-	placer *Placer
-	target *target
-	start  time.Time
-	work   Work // work is what still counts.
-	keys   []PartKey
-	parts  []Part
-	store  *store // store is where the request fetches from, or nil.
-	moved  Work   // moved is what it fetches there.
-	// expected is the time to the first byte that was expected.
+	placer   *Placer
+	target   *target
+	start    time.Time
+	work     Work // work is the request's current share of the upstream's load.
+	keys     []PartKey
+	parts    []Part
+	store    *store // store is the store with a transfer in flight, or nil.
+	transfer Work   // transfer is its work at store.
+	// expected is the expected time to the first byte.
 	expected time.Duration
-	// common is what a common engine would have taken to the first byte, besides transfers;
-	// 0 if that cannot be told.
-	common    time.Duration
-	fetchTime time.Duration // fetchTime is the estimated time of transfers.
-	fetching  bool          // fetching tells that the upstream has to fetch kept context first.
-	onSilent  func()
-	queued    int  // queued are the tokens that go out there up to its own.
-	reads     int  // reads is the first of its parts that the upstream has to read.
-	missing   int  // missing are the tokens that it had to read.
-	quiet     bool // quiet tells that its engine had nothing else to read.
-	first     bool
-	done      bool
+	// baseline is the estimated time to the first byte at an engine of common speed, without
+	// transfers; 0 for plain services.
+	baseline       time.Duration
+	fetchTime      time.Duration // fetchTime is the estimated time of the transfers.
+	fetching       bool          // fetching reports that the upstream has to fetch first.
+	onSilent       func()
+	queuedTokens   int  // queuedTokens are in flight at store up to the end of this transfer.
+	firstPrefilled int  // firstPrefilled is the index of the first part to prefill.
+	prefillTokens  int  // prefillTokens is the number of tokens to prefill.
+	idle           bool // idle reports that the engine had almost nothing else to prefill.
+	first          bool
+	done           bool
 }
 
-// First tells that the upstream has read the prompt.
+// First records that the first token has arrived, which ends the prefill.
 func (tk *Ticket) First(now time.Time) {
 	tk.placer.mu.Lock()
 	defer tk.placer.mu.Unlock()
@@ -50,42 +52,42 @@
 		return
 	}
 	tk.first = true
-	tk.target.sign = now
+	tk.target.lastActivity = now
 	if tk.work.Pending >= urgentTokens && tk.placer.opts.Urgent != nil {
 		tk.placer.opts.Urgent()
 	}
-	tk.target.eased = now
+	tk.target.freedAt = now
 	tk.target.own.Pending -= tk.work.Pending
 	tk.placer.changed[tk.target] = struct{}{}
 	tk.work.Pending = 0
-	if !tk.spans(now) {
-		tk.placer.timed(now, tk)
-		tk.placer.paced(now, tk)
+	if !tk.spansStall(now) {
+		tk.placer.observeTransfer(now, tk)
+		tk.placer.observePace(now, tk)
 	}
-	tk.arrived()
-	tk.placer.note(now, tk.target, tk.keys, tk.parts)
+	tk.endTransfer()
+	tk.placer.recordCached(now, tk.target, tk.keys, tk.parts)
 	for _, k := range tk.keys {
-		tk.placer.ended(k, nil)
+		tk.placer.prefillEnded(k, nil)
 	}
-	tk.placer.eased()
+	tk.placer.notifyRoom()
 }
 
-// eased tells that an upstream has more room.
-func (p *Placer) eased() {
+// notifyRoom calls Options.Eased.
+func (p *Placer) notifyRoom() {
 	if p.opts.Eased != nil {
 		p.opts.Eased()
 	}
 }
 
-// arrived takes the request's transfer off its store.
-func (tk *Ticket) arrived() {
+// endTransfer removes the request's transfer from its store's load.
+func (tk *Ticket) endTransfer() {
 	if tk.store != nil {
-		tk.store.own.sub(tk.moved)
+		tk.store.own.sub(tk.transfer)
 		tk.store = nil
 	}
 }
 
-// Done tells the end. Later calls do nothing.
+// Done records the end of the request. Later calls do nothing.
 func (tk *Ticket) Done(now time.Time, result Result) {
 	tk.placer.mu.Lock()
 	defer tk.placer.mu.Unlock()
@@ -93,32 +95,32 @@
 		return
 	}
 	tk.done = true
-	tk.arrived()
+	tk.endTransfer()
 	if !tk.first {
 		for _, k := range tk.keys {
-			tk.placer.ended(k, tk)
+			tk.placer.prefillEnded(k, tk)
 		}
 	}
 	t := tk.target
 	delete(t.tickets, tk)
 	if result == ResultServed || result == ResultRefused {
-		t.sign = now
+		t.lastActivity = now
 	}
 	t.own.sub(tk.work)
 	tk.placer.changed[t] = struct{}{}
-	t.eased = now
+	t.freedAt = now
 	switch result {
 	case ResultServed:
 		t.succeeded(now)
-		if !tk.spans(now) {
-			t.took(now.Sub(tk.start))
+		if !tk.spansStall(now) {
+			t.observeServiceTime(now.Sub(tk.start))
 		}
 	case ResultFailed, ResultRefused:
-		t.failed() // also a full one is the worse choice for a while
+		t.failed() // a full upstream also is a worse choice for a while
 	case ResultUnreached:
-		t.unreached(now)
+		t.markUnreachable(now)
 	default:
 		t.probing = false
 	}
-	tk.placer.eased()
+	tk.placer.notifyRoom()
 }
--- a/placer/update_bench_test.go
+++ b/placer/update_bench_test.go
@@ -11,7 +11,7 @@
 	"amaranthgate.example/amaranthgate/matcher"
 )
 
-// manyUpstreams returns what is believed of n engines.
+// manyUpstreams returns a state with n engines.
 func manyUpstreams(n int) *follower.State {
 	s := follower.New()
 	table := matcher.New(matcher.Parts{Version: 1, Services: []matcher.Service{
@@ -31,14 +31,14 @@
 	}
 }
 
-// BenchmarkChange is what a change of one upstream takes on each host.
+// BenchmarkChange measures the update of one upstream.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{3000, 10000} {
-		b.Run(fmt.Sprintf("Upstreams%d", n), func(b *testing.B) { change(b, n) })
+		b.Run(fmt.Sprintf("Upstreams%d", n), func(b *testing.B) { benchmarkChange(b, n) })
 	}
 }
 
-func change(b *testing.B, n int) {
+func benchmarkChange(b *testing.B, n int) {
 	s := manyUpstreams(n)
 	p := New(Options{AvailabilityZone: "zone1"})
 	p.Update(s.View())
