--- a/conductor/bars.go
+++ b/conductor/bars.go
@@ -12,77 +12,76 @@
 	"amaranthgate.example/amaranthgate/quarantiner"
 )
 
-// Bars of requests that end upstreams, noted in the platform's store: a write for each bar,
-// and one for its end. After a loss of all hosts such a request would have to end three more
-// upstreams before it is known again.
+// Barred requests are saved in the platform's store, so that a fleet that restarts as a whole does
+// not lose more upstreams before it bars them again.
 
-// barPrefix begins the key of a noted bar; the identity in hexadecimal digits follows.
-const barPrefix = "barred/"
+// savedBarPrefix begins the key of a saved bar; the identity in hexadecimal follows.
+const savedBarPrefix = "barred/"
 
-// barOf returns the identity that a note's key names.
-func barOf(key string) (quarantiner.Identity, bool) {
+// parseBarKey returns the identity that a store key names.
+func parseBarKey(key string) (quarantiner.Identity, bool) {
 	var id quarantiner.Identity
-	text, ok := strings.CutPrefix(key, barPrefix)
+	text, ok := strings.CutPrefix(key, savedBarPrefix)
 	return id, ok && id.UnmarshalText([]byte(text)) == nil
 }
 
-// notedBar is the value of a note.
-type notedBar struct {
+// savedBar is a bar as it is stored.
+type savedBar struct {
 	Word quarantiner.Word `cbor:"1,keyasint"`
-	At   int64            `cbor:"2,keyasint"` // At is when it was noted, in milliseconds of the time of day.
+	At   int64            `cbor:"2,keyasint"` // At is when it was saved, in Unix milliseconds.
 }
 
-// barNotes remembers which bars are noted. The zero value is ready.
-type barNotes struct {
-	noted map[quarantiner.Identity]bool
+// savedBars tracks which bars are saved. The zero value is ready to use.
+type savedBars struct {
+	saved map[quarantiner.Identity]bool
 }
 
-// keep notes new bars, and drops the notes of those that are no more.
-func (b *barNotes) keep(h *Host) {
-	if h.quarantine.Len() == 0 && len(b.noted) == 0 {
+// update saves new bars and removes those that no longer hold.
+func (b *savedBars) update(h *Host) {
+	if h.quarantine.Len() == 0 && len(b.saved) == 0 {
 		return
 	}
-	stands := make(map[quarantiner.Identity]bool)
+	barred := make(map[quarantiner.Identity]bool)
 	for _, w := range h.quarantine.Bars(h.opts.Timer.Now()) {
-		stands[w.Identity] = true
-		if !b.noted[w.Identity] && h.noteBar(w) {
+		barred[w.Identity] = true
+		if !b.saved[w.Identity] && h.saveBar(w) {
 			b.add(w.Identity)
 		}
 	}
-	for id := range b.noted {
-		if !stands[id] && h.noteDown(barPrefix+id.String(), nil) == nil {
-			delete(b.noted, id)
+	for id := range b.saved {
+		if !barred[id] && h.save(savedBarPrefix+id.String(), nil) == nil {
+			delete(b.saved, id)
 		}
 	}
 }
 
-func (b *barNotes) add(id quarantiner.Identity) {
-	if b.noted == nil {
-		b.noted = make(map[quarantiner.Identity]bool)
+func (b *savedBars) add(id quarantiner.Identity) {
+	if b.saved == nil {
+		b.saved = make(map[quarantiner.Identity]bool)
 	}
-	b.noted[id] = true
+	b.saved[id] = true
 }
 
-func (h *Host) noteBar(w quarantiner.Word) bool {
-	value, err := codec.Marshal(notedBar{Word: w, At: time.Now().UnixMilli()})
+func (h *Host) saveBar(w quarantiner.Word) bool {
+	value, err := codec.Marshal(savedBar{Word: w, At: time.Now().UnixMilli()})
 	if err != nil {
 		panic("conductor: bar cannot be encoded: " + err.Error())
 	}
-	if err = h.noteDown(barPrefix+w.Identity.String(), value); err != nil {
+	if err = h.save(savedBarPrefix+w.Identity.String(), value); err != nil {
 		h.log.Warn().Err(err).Stringer("Identity", w.Identity).Msg(logger.BarUnnoted)
 	}
 	return err == nil
 }
 
-// recall returns what is noted of bars.
-func (b *barNotes) recall(h *Host, noted map[string][]byte) []quarantiner.Word {
+// restore returns the saved bars.
+func (b *savedBars) restore(h *Host, saved map[string][]byte) []quarantiner.Word {
 	var words []quarantiner.Word
-	for key, value := range noted {
-		id, ok := barOf(key)
+	for key, value := range saved {
+		id, ok := parseBarKey(key)
 		if !ok || len(value) == 0 {
 			continue
 		}
-		var n notedBar
+		var n savedBar
 		if err := codec.Unmarshal(value, &n); err != nil || n.Word.Identity != id {
 			h.log.Warn().AnErr("Failure", err).Str("Key", key).Msg(logger.BarUnread)
 			continue
--- a/conductor/cells_test.go
+++ b/conductor/cells_test.go
@@ -14,9 +14,8 @@
 	"amaranthgate.example/amaranthgate/placer"
 )
 
-// TestWorkIsCountedOnce: whether hosts hear of each other's work directly, by cells or
-// by the sums of relays, each that serves callers counts every other's exactly once, also
-// that of hosts that stand by.
+// TestWorkIsCountedOnce: each active host counts every other host's load exactly once, whether it
+// arrives directly, within cells or in the relays' sums.
 func TestWorkIsCountedOnce(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -36,37 +35,36 @@
 			c.write(follower.FeedOperator, "config", "version 1")
 			c.run(6 * time.Second)
 			for _, s := range c.nodes {
-				s.reports = make(map[string]placer.Report) // they count for 1.5 s
+				s.reports = make(map[string]placer.Report) // reports count for 1.5 s
 			}
 			c.run(1500 * time.Millisecond)
 			for _, s := range c.nodes {
-				tree := s.node.paths()
-				assert.Equal(t, len(tree.active), test.active, "%s", s.name)
-				assert.Assert(t, len(tree.cell()) <= cellHosts)
-				if !tree.ours {
+				topo := s.node.topology()
+				assert.Equal(t, len(topo.active), test.active, "%s", s.name)
+				assert.Assert(t, len(topo.cell()) <= maxCellHosts)
+				if !topo.selfActive {
 					continue
 				}
-				sum := 0
+				total := 0
 				for _, r := range s.reports {
-					sum += r.Work["engine"].Requests
+					total += r.Work["engine"].Requests
 				}
-				assert.Equal(t, sum, test.hosts-1, "%s", s.name)
+				assert.Equal(t, total, test.hosts-1, "%s", s.name)
 			}
 		})
 	}
 }
 
-// TestCells: each member is in one cell, whoever divides them, and one host more or
-// less moves few of them.
+// TestCells: each member is in one cell, and adding or removing a host moves few members.
 func TestCells(t *testing.T) {
 	var members []string
 	for i := range 100 {
 		members = append(members, fmt.Sprint("host-", i))
 	}
-	where := func(members []string) map[string]int {
+	cellIndex := func(members []string) map[string]int {
 		out := make(map[string]int)
-		for i, cell := range cellsOf(members) {
-			assert.Assert(t, len(cell) <= cellHosts)
+		for i, cell := range divideCells(members) {
+			assert.Assert(t, len(cell) <= maxCellHosts)
 			for _, m := range cell {
 				_, twice := out[m]
 				assert.Assert(t, !twice, m)
@@ -76,13 +74,13 @@
 		assert.Equal(t, len(out), len(members))
 		return out
 	}
-	all, less := where(members), where(members[1:])
+	all, fewer := cellIndex(members), cellIndex(members[1:])
 	moved := 0
-	for m, cell := range less {
+	for m, cell := range fewer {
 		if all[m] != cell {
 			moved++
 		}
 	}
 	assert.Assert(t, moved <= 4, "%d of 99 hosts are in another cell", moved)
-	assert.Equal(t, len(cellsOf(nil)), 0)
+	assert.Equal(t, len(divideCells(nil)), 0)
 }
--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -19,8 +19,8 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// simDecoder reads "version N" as a configuration, the key "evacuate/ZONE" as an
-// evacuation, and "ready" or "leaving" as an upstream's entry.
+// simDecoder decodes "version N" as a configuration, the key "evacuate/ZONE" as an evacuation, and
+// "ready" or "leaving" as an upstream's entry.
 type simDecoder struct{}
 
 func (simDecoder) Decode(f follower.Feed, r follower.Record) (follower.Change, error) {
@@ -49,13 +49,13 @@
 	return follower.Change{Table: matcher.New(matcher.Parts{Version: n, Services: []matcher.Service{{Name: "s"}}})}, nil
 }
 
-// zoneOf returns the availability zone of an upstream that is named "a@zone", else "".
+// zoneOf returns the availability zone of an upstream named "a@zone", else "".
 func zoneOf(key string) string {
 	_, zone, _ := strings.Cut(key, "@")
 	return zone
 }
 
-// access is how the store treats a host.
+// access is how the store responds to a host.
 type access string
 
 const (
@@ -69,57 +69,59 @@
 	zone       string
 	node       *Node
 	access     access
-	changed    time.Time // changed is when access or the process changed last.
+	changed    time.Time // changed is when access or the process last changed.
 	down       bool
 	paused     bool
 	waiting    []*simRead
 	inbox      []Event
 	starts     uint64
-	unreadable int                      // unreadable counts the lines about records that cannot be read.
-	version    uint64                   // version is what was published last.
-	reports    map[string]placer.Report // reports has the newest work of others, by who told of it.
+	unreadable int                      // unreadable counts log events about unreadable records.
+	version    uint64                   // version is the last published version.
+	reports    map[string]placer.Report // reports are the newest reports, by sender.
 }
 
 type simRead struct {
-	read    Read
-	asked   time.Time
-	ends    time.Time // ends is when the store gives up waiting, or the host does.
-	swallow bool
+	read     Read
+	start    time.Time
+	deadline time.Time // deadline is when the store stops waiting for a record.
+	silent   bool
 }
 
-// cluster is several nodes and a store in simulated time.
+// cluster simulates several nodes and a store in simulated time.
 type cluster struct {
-	now        time.Time
-	nodes      []*simNode
-	byName     map[string]*simNode
-	logs       map[follower.Feed][]follower.Record
-	first      map[follower.Feed]int64 // first is the first offset that is still there.
-	faults     []string
-	calls      int                           // calls counts questions to the store.
-	wholes     int                           // wholes counts those for all that a feed has.
-	use        float64                       // use is how many cores each host uses.
-	firstStart bool                          // firstStart tells hosts so.
-	apart      bool                          // apart tells that hosts that start find nobody but themselves.
-	sought     int                           // sought counts looks for unknown hosts.
-	cards      map[string]tracker.HostRecord // cards are the announcements.
-	cardsEnd   int64                         // cardsEnd counts changes of them.
-	cut        map[string]bool               // cut are hosts that cannot reach any that is not among them, nor be reached.
-	idle       bool                          // idle tells that no host has work.
-	seen       func(PeerMessage)             // seen, if set, is called with each message that arrives.
-	to         *simNode                      // to is whom that message has reached.
-	sent       map[string]int                // sent counts messages by sender.
+	now              time.Time
+	nodes            []*simNode
+	byName           map[string]*simNode
+	logs             map[follower.Feed][]follower.Record
+	oldest           map[follower.Feed]int64 // oldest is the first offset that the store still has.
+	violations       []string
+	calls            int     // calls counts reads from the store.
+	listingReads     int     // listingReads counts reads of whole feeds.
+	use              float64 // use is the number of cores in use by each host.
+	firstStart       bool    // firstStart is set in the options of each node.
+	isolated         bool    // isolated makes starting hosts find only themselves.
+	searches         int     // searches counts reads of all announcements.
+	announcements    map[string]tracker.HostRecord
+	announcementsEnd int64             // announcementsEnd counts changes of announcements.
+	partition        map[string]bool   // partition are the hosts on one side of a network partition.
+	idle             bool              // idle makes all hosts report no work.
+	onMessage        func(PeerMessage) // onMessage, if set, is called with each message that arrives.
+	recipient        *simNode          // recipient is the host that onMessage's message has reached.
+	sent             map[string]int    // sent counts messages by sender.
 }
 
 const (
-	clusterTick = 10 * time.Millisecond
-	reportMilli = 100
+	clusterTick  = 10 * time.Millisecond
+	reportMillis = 100
 )
 
 func newCluster(n int) *cluster { return startCluster(n, false) }
 
-// startCluster starts hosts that have run before, or that start for the first time.
+// startCluster starts n hosts, for the first time or after earlier runs.
 func startCluster(n int, firstStart bool) *cluster {
-	c := &cluster{firstStart: firstStart, now: time.Unix(5000, 0), byName: make(map[string]*simNode), cards: make(map[string]tracker.HostRecord), logs: make(map[follower.Feed][]follower.Record), first: make(map[follower.Feed]int64), sent: make(map[string]int)}
+	c := &cluster{firstStart: firstStart, now: time.Unix(5000, 0), byName: make(map[string]*simNode),
+		announcements: make(map[string]tracker.HostRecord), logs: make(map[follower.Feed][]follower.Record),
+		oldest: make(map[follower.Feed]int64), sent: make(map[string]int)}
 	for i := range n {
 		s := &simNode{name: fmt.Sprintf("host-%d", i+1), zone: fmt.Sprintf("zone-%d", i%3), access: accessOK}
 		c.nodes = append(c.nodes, s)
@@ -142,7 +144,7 @@
 		Kept:    func() []placer.Placement { return nil },
 		Stores:  func() []placer.StoreReport { return nil },
 	})
-	if c.apart {
+	if c.isolated {
 		s.inbox = append(s.inbox, HostsFound{Hosts: []tracker.HostRecord{self}})
 		return
 	}
@@ -154,29 +156,29 @@
 	}
 }
 
-// found is what a host that starts reads of announcements.
+// found returns what a starting host reads of the announcements.
 func (c *cluster) found(s *simNode) HostsFound {
 	switch {
 	case s.access != accessOK:
 		return HostsFound{Err: errors.New("refused")}
-	case c.apart:
+	case c.isolated:
 		return HostsFound{Hosts: []tracker.HostRecord{s.node.opts.Self}}
 	}
 	return HostsFound{Hosts: c.announced()}
 }
 
-// announced is what hosts have announced, those that are down included.
+// announced returns all announcements, including those of hosts that are down.
 func (c *cluster) announced() []tracker.HostRecord {
 	var all []tracker.HostRecord
-	for _, name := range slices.Sorted(maps.Keys(c.cards)) {
-		all = append(all, c.cards[name])
+	for _, name := range slices.Sorted(maps.Keys(c.announcements)) {
+		all = append(all, c.announcements[name])
 	}
 	return all
 }
 
 func (c *cluster) announce(r tracker.HostRecord) {
-	c.cards[r.Host] = r
-	c.cardsEnd++
+	c.announcements[r.Host] = r
+	c.announcementsEnd++
 }
 
 func (c *cluster) write(f follower.Feed, key, value string) {
@@ -190,27 +192,27 @@
 			if s.down {
 				continue
 			}
-			c.answers(s)
+			c.answerReads(s)
 			if s.paused {
 				continue
 			}
 			inbox := append(s.inbox, Tick{})
-			if c.now.UnixMilli()%reportMilli == 0 {
-				inbox = append(inbox, c.workOf(s))
+			if c.now.UnixMilli()%reportMillis == 0 {
+				inbox = append(inbox, c.workReport(s))
 			}
 			s.inbox = nil
 			for _, ev := range inbox {
-				if m, ok := ev.(PeerMessage); ok && c.seen != nil {
-					c.to = s
-					c.seen(m)
+				if m, ok := ev.(PeerMessage); ok && c.onMessage != nil {
+					c.recipient = s
+					c.onMessage(m)
 				}
-				c.carry(s, s.node.Handle(c.now, ev))
+				c.execute(s, s.node.Handle(c.now, ev))
 			}
 		}
 	}
 }
 
-func (c *cluster) workOf(s *simNode) WorkReported {
+func (c *cluster) workReport(s *simNode) WorkReported {
 	r := placer.Report{Work: map[string]placer.Work{}}
 	if !c.idle {
 		r.Work["engine"] = placer.Work{Requests: 1}
@@ -218,28 +220,28 @@
 	return WorkReported{Report: r, Use: c.use}
 }
 
-// answers ends the questions of a node whose time has come.
-func (c *cluster) answers(s *simNode) {
-	var rest []*simRead
+// answerReads completes the node's pending reads that are due.
+func (c *cluster) answerReads(s *simNode) {
+	var pending []*simRead
 	for _, w := range s.waiting {
-		ev := FeedRead{News: follower.News{Feed: w.read.Feed}, Asked: w.asked, Wait: w.read.Wait}
+		ev := FeedRead{News: follower.News{Feed: w.read.Feed}, Asked: w.start, Wait: w.read.Wait}
 		log := c.logs[w.read.Feed]
-		swallowed := w.swallow || s.access == accessSilent
-		w.swallow = swallowed
+		silent := w.silent || s.access == accessSilent
+		w.silent = silent
 		switch {
 		case s.access == accessRefuse:
 			ev.Err = errors.New("refused")
-		case swallowed && c.now.Sub(w.asked) < w.read.Wait+time.Second:
-			rest = append(rest, w)
+		case silent && c.now.Sub(w.start) < w.read.Wait+time.Second:
+			pending = append(pending, w)
 			continue
-		case swallowed:
+		case silent:
 			ev.Err = errors.New("no answer")
 		case w.read.Full:
 			ev.News = c.listing(w.read.Feed)
-		case w.read.From < c.first[w.read.Feed]:
+		case w.read.From < c.oldest[w.read.Feed]:
 			ev.Err = follower.ErrForgotten
-		case int64(len(log)) <= w.read.From && c.now.Before(w.ends):
-			rest = append(rest, w)
+		case int64(len(log)) <= w.read.From && c.now.Before(w.deadline):
+			pending = append(pending, w)
 			continue
 		default:
 			ev.News.From, ev.News.Next = w.read.From, int64(len(log))
@@ -247,7 +249,7 @@
 		}
 		s.inbox = append(s.inbox, ev)
 	}
-	s.waiting = rest
+	s.waiting = pending
 }
 
 func (c *cluster) listing(f follower.Feed) follower.News {
@@ -264,7 +266,7 @@
 	return news
 }
 
-func (c *cluster) carry(s *simNode, actions []Action) {
+func (c *cluster) execute(s *simNode, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
@@ -283,36 +285,36 @@
 		case Read:
 			c.calls++
 			if a.Full {
-				c.wholes++
+				c.listingReads++
 			}
-			s.waiting = append(s.waiting, &simRead{read: a, asked: c.now, ends: c.now.Add(a.Wait), swallow: s.access == accessSilent})
+			s.waiting = append(s.waiting, &simRead{read: a, start: c.now, deadline: c.now.Add(a.Wait), silent: s.access == accessSilent})
 		case Find:
 			s.inbox = append(s.inbox, c.found(s))
 		case Seek:
-			c.sought++
-			s.inbox = append(s.inbox, HostsSought{Hosts: c.announced(), Whole: true, End: c.cardsEnd})
+			c.searches++
+			s.inbox = append(s.inbox, HostsSought{Hosts: c.announced(), Whole: true, End: c.announcementsEnd})
 		case Announce:
 			c.announce(s.node.opts.Self)
 			s.inbox = append(s.inbox, Announced{})
 		case Retract:
-			if a.End == c.cardsEnd {
+			if a.End == c.announcementsEnd {
 				for _, r := range a.Hosts {
-					delete(c.cards, r.Host)
-					c.cardsEnd++
+					delete(c.announcements, r.Host)
+					c.announcementsEnd++
 				}
 			}
 		case PublishView:
 			if t := a.View.Table; t != nil {
 				if t.Version() < s.version {
-					c.faults = append(c.faults, fmt.Sprintf("%s went from version %d back to %d", s.name, s.version, t.Version()))
+					c.violations = append(c.violations, fmt.Sprintf("%s went from version %d back to %d", s.name, s.version, t.Version()))
 				}
 				s.version = t.Version()
 			}
-		case Note:
-			if a.What == NoteUnreadable {
+		case LogEvent:
+			if a.Kind == LogUnreadable {
 				s.unreadable++
 			}
-		case TakeReport:
+		case ApplyReport:
 			if a.Report.Work != nil {
 				s.reports[a.From] = a.Report
 			}
@@ -323,11 +325,11 @@
 }
 
 func (c *cluster) reaches(from, to *simNode) bool {
-	return !to.down && c.cut[from.name] == c.cut[to.name]
+	return !to.down && c.partition[from.name] == c.partition[to.name]
 }
 
-// heal ends the cut. Connections that were kept trying stand again.
-func (c *cluster) heal() {
+// healPartition ends the partition; connections across it open again.
+func (c *cluster) healPartition() {
 	for _, s := range c.nodes {
 		for _, o := range c.nodes {
 			if !c.reaches(s, o) {
@@ -335,7 +337,7 @@
 			}
 		}
 	}
-	c.cut = nil
+	c.partition = nil
 }
 
 func (c *cluster) set(s *simNode, a access) { s.access, s.changed = a, c.now }
--- a/conductor/counters.go
+++ b/conductor/counters.go
@@ -16,8 +16,7 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// counters are the metrics of one host. Label values are from closed lists, so
-// that their number is bounded.
+// counters holds the metrics of one host. Label values come from closed sets.
 type counters struct {
 	set *metrics.Set
 }
@@ -26,8 +25,8 @@
 	c := &counters{set: metrics.NewSet()}
 	c.set.NewGauge("amaranthgate_requests_open", func() float64 { return float64(h.open.Load()) })
 	c.set.NewGauge("amaranthgate_requests_waiting", func() float64 { return float64(h.exchanger.Waiting()) })
-	c.set.NewGauge("amaranthgate_ready", func() float64 { return boolean(h.Ready()) })
-	c.set.NewGauge("amaranthgate_hosts_live", func() float64 { return float64(live(*h.hosts.Load())) })
+	c.set.NewGauge("amaranthgate_ready", func() float64 { return gaugeValue(h.Ready()) })
+	c.set.NewGauge("amaranthgate_hosts_live", func() float64 { return float64(countLive(*h.hosts.Load())) })
 	c.set.NewGauge("amaranthgate_hosts_serving", func() float64 { return float64(len(h.serving.Load().Hosts())) })
 	c.set.NewGauge("amaranthgate_configuration_version", func() float64 {
 		if t := h.view.Load().Table; t != nil {
@@ -45,14 +44,14 @@
 	return c
 }
 
-func boolean(b bool) float64 {
+func gaugeValue(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// request counts a request by its end, and times its first byte.
+// request counts a finished request and records its latencies.
 func (c *counters) request(o exchanger.Outcome) {
 	reason := o.Reason
 	if reason == exchanger.ReasonNone {
@@ -73,16 +72,16 @@
 	}
 }
 
-// upstreamEnded counts a request whose upstream has ended with it under way.
+// upstreamEnded counts a request whose upstream ended while serving it.
 func (c *counters) upstreamEnded() {
 	c.set.GetOrCreateCounter("amaranthgate_requests_upstream_ended_total").Inc()
 }
 
-// barred counts a request that is sent to no more upstreams.
+// barred counts a request that is barred from all upstreams.
 func (c *counters) barred() { c.set.GetOrCreateCounter("amaranthgate_bars_total").Inc() }
 
-// store counts a call to the platform's store.
-func (c *counters) store(call string, started time.Time, now time.Time, err error) {
+// storeCall counts and times a call to the platform's store.
+func (c *counters) storeCall(call string, started time.Time, now time.Time, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
@@ -91,24 +90,23 @@
 	c.set.GetOrCreateHistogram(fmt.Sprintf("amaranthgate_store_call_seconds{call=%q}", call)).Update(now.Sub(started).Seconds())
 }
 
-// feed notes when a feed was current.
-func (c *counters) feed(f follower.Feed, at time.Time) {
+// feedCurrent records when a feed was last known to be current.
+func (c *counters) feedCurrent(f follower.Feed, at time.Time) {
 	c.set.GetOrCreateGauge(fmt.Sprintf("amaranthgate_feed_current_timestamp_seconds{feed=%q}", string(f)), nil).Set(float64(at.UnixMilli()) / 1000)
 }
 
-// order counts an order to an engine.
 func (c *counters) order(r renewer.OrderResult) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("amaranthgate_orders_total{result=%q}", string(r))).Inc()
 }
 
-// write writes all metrics as text.
+// write writes all metrics in the Prometheus text format.
 func (c *counters) write(w io.Writer) {
 	c.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// live counts the hosts that are there and not leaving.
-func live(hosts []tracker.HostRecord) int {
+// countLive counts the live hosts.
+func countLive(hosts []tracker.HostRecord) int {
 	n := 0
 	for _, r := range hosts {
 		if r.State == tracker.HostLive {
--- a/conductor/delays.go
+++ b/conductor/delays.go
@@ -9,45 +9,41 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// Figures of messages that come late. After a host stood still, or a path between two
-// hosts did, all that was said meanwhile arrives at once, each message as if it had just
-// been sent. What is in them holds; that it is the newest does not. Without this a host
-// that had stood still for 3 s took replaced weights for in force until its waking, and
-// fetched context of theirs while it was freed.
+// After a stall of a host or a network path, delayed messages arrive together as if just sent.
+// Their content holds, but their age is unknown.
 const (
-	// delayGap is the silence of another host after which its messages may be old.
-	// Hosts speak every 0.2 s or more often.
-	delayGap = 600 * time.Millisecond
-	// delayDoubt is how long what comes after such a silence may be old.
-	delayDoubt = 300 * time.Millisecond
-	// unknownAge stands for the age of what may be old: older than any that counts.
+	// staleGap is the silence of a host after which its messages may be stale.
+	staleGap = 600 * time.Millisecond
+	// staleWindow is how long messages after such a silence may be stale.
+	staleWindow = 300 * time.Millisecond
+	// unknownAge stands for an unknown age; it exceeds every age limit.
 	unknownAge = 24 * time.Hour
 )
 
-// delays remembers when each host was heard, to know messages that come late.
-type delays map[string]*heard
+// peerArrivals tracks when each host was last heard, to detect delayed messages.
+type peerArrivals map[string]*peerArrival
 
-type heard struct {
-	last  time.Time
-	doubt time.Time // doubt is until when what comes may be old.
+type peerArrival struct {
+	lastHeard  time.Time
+	staleUntil time.Time
 }
 
-// late notes a message of a host and tells whether it may have been sent long before.
-func (d delays) late(now time.Time, host string) bool {
+// mayBeStale records a message from a host and reports whether it may have been delayed.
+func (d peerArrivals) mayBeStale(now time.Time, host string) bool {
 	h := d[host]
 	if h == nil {
-		h = &heard{}
+		h = &peerArrival{}
 		d[host] = h
 	}
-	if now.Sub(h.last) > delayGap {
-		h.doubt = now.Add(delayDoubt)
+	if now.Sub(h.lastHeard) > staleGap {
+		h.staleUntil = now.Add(staleWindow)
 	}
-	h.last = now
-	return now.Before(h.doubt)
+	h.lastHeard = now
+	return now.Before(h.staleUntil)
 }
 
-// undated returns pages whose ages are not known.
-func undated(pages []follower.News) []follower.News {
+// withUnknownAge returns pages whose ages are set to unknownAge.
+func withUnknownAge(pages []follower.News) []follower.News {
 	out := make([]follower.News, len(pages))
 	for i, p := range pages {
 		p.Age = unknownAge
--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -16,7 +16,7 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// weightsDecoder reads the number of a weight version.
+// weightsDecoder decodes a number as a weight version.
 type weightsDecoder struct{}
 
 func (weightsDecoder) Decode(_ follower.Feed, r follower.Record) (follower.Change, error) {
@@ -24,13 +24,13 @@
 	return follower.Change{Weights: &follower.Weights{Model: "m", Version: n}}, err
 }
 
-// TestBacklogIsNoNews: what arrives at once after a silence was not said at once. A
-// version that is named in it was not in force until then.
-func TestBacklogIsNoNews(t *testing.T) {
+// TestBacklogHasUnknownAge: messages that arrive together after a silence have an unknown age, so a
+// version named in them counts from the last message that came in time.
+func TestBacklogHasUnknownAge(t *testing.T) {
 	n := NewNode(NodeOptions{Self: tracker.HostRecord{Host: "a", Incarnation: 1}, Decoder: weightsDecoder{}, Timing: DefaultTiming()})
 	start := time.Unix(5000, 0)
 	next := int64(0)
-	hear := func(at time.Duration, full bool, values ...string) {
+	receive := func(at time.Duration, full bool, values ...string) {
 		news := follower.News{Feed: follower.FeedOperator, Full: full, From: next}
 		for _, v := range values {
 			news.Records = append(news.Records, follower.Record{Key: "weights", Value: []byte(v), Offset: next})
@@ -39,25 +39,25 @@
 		news.Next = next
 		n.Handle(start.Add(at), PeerMessage{From: "b", Message: &messenger.Message{News: []follower.News{news}}})
 	}
-	hear(0, true, "1")
-	known := time.Duration(0)
+	receive(0, true, "1")
+	lastOnTime := time.Duration(0)
 	for at := 200 * time.Millisecond; at <= time.Second; at += 200 * time.Millisecond {
-		hear(at, false)
-		known = at
+		receive(at, false)
+		lastOnTime = at
 	}
-	const woke = 4 * time.Second
-	hear(woke, false)
-	hear(woke+10*time.Millisecond, false, "2")
-	hear(woke+20*time.Millisecond, false)
+	const resumed = 4 * time.Second
+	receive(resumed, false)
+	receive(resumed+10*time.Millisecond, false, "2")
+	receive(resumed+20*time.Millisecond, false)
 	named := n.state.View().Named["m"]
-	assert.Equal(t, named.Version, uint64(2), "what is said holds")
-	assert.Equal(t, named.InForceUntil(1), start.Add(known))
-	hear(woke+500*time.Millisecond, false)
-	assert.Equal(t, n.feeds[follower.FeedOperator].fresh, start.Add(woke+500*time.Millisecond), "later it is current again")
+	assert.Equal(t, named.Version, uint64(2), "the content of delayed messages holds")
+	assert.Equal(t, named.InForceUntil(1), start.Add(lastOnTime))
+	receive(resumed+500*time.Millisecond, false)
+	assert.Equal(t, n.feeds[follower.FeedOperator].currentAt, start.Add(resumed+500*time.Millisecond), "later messages have a known age again")
 }
 
-// TestUnheardHostsAreNotNamed: hosts that are known from their announcements only may not
-// be there; callers hear of them once they have spoken.
+// TestUnheardHostsAreNotNamed: hosts known only from their announcements are marked unheard until
+// they have sent a message or connected.
 func TestUnheardHostsAreNotNamed(t *testing.T) {
 	record := func(host string) tracker.HostRecord {
 		return tracker.HostRecord{Host: host, Incarnation: 1, State: tracker.HostLive, Peers: host, Callers: host}
--- a/conductor/directory.go
+++ b/conductor/directory.go
@@ -11,16 +11,16 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// nearEnough is the number of hosts in a caller's availability zone from which
-// only these are named: two, so that one may be lost between two questions.
-const nearEnough = 2
+// minZoneHosts is the number of hosts in a caller's availability zone from which on only these are
+// returned. With two, one may fail between two queries.
+const minZoneHosts = 2
 
-// unreadyTime is how long after its start a host that knows no host that is ready names
-// none. Callers then ask another directory, or go where they went before.
-const unreadyTime = time.Second
+// startupGrace is how long after its start a host that knows no ready host returns no address.
+// Callers then query another host or keep their previous address.
+const startupGrace = time.Second
 
-// Addresses returns where callers of an availability zone may connect, and how
-// long they may keep the answer; no address if this host can't tell.
+// Addresses returns where callers of an availability zone may connect, and how long they may cache
+// the answer. It returns no address if this host knows none.
 func (h *Host) Addresses(availabilityZone string) ([]string, time.Duration) {
 	ttl := h.opts.Settings.Timing.AddressTTL.Std()
 	d := directory{
@@ -30,9 +30,9 @@
 		regions: h.opts.Settings.Platform.Regions,
 	}
 	found := d.addresses(availabilityZone)
-	young := h.opts.Timer.Now().Sub(h.started) < unreadyTime
+	starting := h.opts.Timer.Now().Sub(h.started) < startupGrace
 	switch {
-	case !d.anyReady() && !h.Ready() && young:
+	case !d.anyReady() && !h.Ready() && starting:
 		return nil, ttl
 	case len(found) == 0 && !h.leaving.Load():
 		return []string{advertised(h.opts.Settings.Callers)}, ttl
@@ -40,20 +40,17 @@
 	return found, ttl
 }
 
-// directory is what a host knows of those that callers may be sent to.
+// directory selects the hosts that callers are sent to.
 type directory struct {
 	hosts   []tracker.HostRecord
-	unheard map[string]bool // unheard are those that have not spoken since this host started.
+	unheard map[string]bool // unheard are hosts not heard from since this host started.
 	serving activator.Selection
 	regions map[string]string
 }
 
-// there returns the hosts that take callers. Those that have not spoken since this one
-// started are left out: after a loss of all hosts they may start later, and a caller that
-// tries one without power loses up to a second. So are those that are not ready, if others
-// are: after a loss of all, hosts with a fifth of a core took 0.8 s to read what they need
-// to know while larger ones were ready after 0.14 s, and refused 105 requests each.
-func (d *directory) there() []tracker.HostRecord {
+// candidates returns the hosts that take callers. It leaves out hosts not heard from since this one
+// started, and hosts that are not ready if any is.
+func (d *directory) candidates() []tracker.HostRecord {
 	var out []tracker.HostRecord
 	ready := d.anyReady()
 	for _, r := range d.hosts {
@@ -68,17 +65,17 @@
 	return r.State == tracker.HostLive && r.Callers != "" && !d.unheard[r.Host]
 }
 
-// anyReady tells that a host is known that is ready to serve.
+// anyReady reports whether any known host is ready to serve.
 func (d *directory) anyReady() bool {
 	return slices.ContainsFunc(d.hosts, func(r tracker.HostRecord) bool { return d.live(r) && r.Ready })
 }
 
-// addresses returns those of the hosts that serve callers: of their availability zone if
-// there are enough, else of their region, since some requests may not leave it, else all;
-// and hosts that stand by where none that serves is there.
+// addresses returns serving hosts: those of the availability zone if there are enough, else those
+// of its region, since some requests may not leave it, else all. If no host serves, it returns the
+// standby hosts.
 func (d *directory) addresses(availabilityZone string) []string {
-	var near, region, serving, all []string
-	for _, r := range d.there() {
+	var zone, region, serving, all []string
+	for _, r := range d.candidates() {
 		all = append(all, r.Callers)
 		if !d.serving.All && !d.serving.Active[r.Host] {
 			continue
@@ -88,12 +85,12 @@
 			region = append(region, r.Callers)
 		}
 		if r.AvailabilityZone == availabilityZone {
-			near = append(near, r.Callers)
+			zone = append(zone, r.Callers)
 		}
 	}
 	switch {
-	case len(near) >= nearEnough:
-		return near
+	case len(zone) >= minZoneHosts:
+		return zone
 	case len(region) > 0:
 		return region
 	case len(serving) > 0:
--- a/conductor/doc.go
+++ b/conductor/doc.go
@@ -3,23 +3,21 @@
 
 // Package conductor runs one host on the users' platform.
 //
-// Node is the control plane: pure, events in and actions out, driven by one
-// goroutine. Host turns sockets into events, carries out actions, and serves
-// callers with package exchanger on what Node publishes.
+// Node is the control plane: a state machine without I/O that takes events and returns actions,
+// driven by one goroutine. Host turns I/O into events, executes the actions, and serves callers
+// with package exchanger on the state that Node publishes.
 //
-// All hosts are alike. In a large fleet those that package activator selects are active:
-// callers are sent to them, and they tell each other what they have under way. The others
-// stand by, ready to become active.
+// All hosts run the same code. In a large fleet the hosts that package activator selects are
+// active: callers are sent to them, and they exchange load reports. The others are on standby.
 //
-// The feeds of the platform's store are read by whoever has had no page for longest: a
-// host reads a feed when no other has passed on a page for a while that grows with its
-// place among the active hosts. So one host reads for all, and if it falls silent the next
-// one does, without any agreement. A host that the store turns away asks the others for
-// what it lacks.
+// One host reads the feeds of the platform's store and broadcasts what it read. Every host has a
+// place in the readers' order and reads a feed itself when it has heard no page for a time that
+// grows with its place, so the next host takes over without an election. A host that the store
+// refuses asks its peers for what it lacks.
 //
 // # Usage
 //
-//	host := conductor.New(conductor.Options{Settings: settings, Source: source, ...})
+//	host := conductor.New(conductor.Options{Settings: settings, Store: store, ...})
 //	err := host.Start()
 //	...
 //	host.Drain(ctx)
--- a/conductor/drain.go
+++ b/conductor/drain.go
@@ -10,45 +10,42 @@
 	"amaranthgate.example/amaranthgate/logger"
 )
 
-// Figures of a graceful end.
 const (
-	// longKeepers is how many times the time to live some callers keep an answer.
-	longKeepers = 3
-	// quietTime is how long no request may have come before the host ends.
-	quietTime = 500 * time.Millisecond
-	drainPoll = 50 * time.Millisecond
-	// closeTime is left for closing connections at the end of the grace.
-	closeTime = 700 * time.Millisecond
+	// addressTTLFactor is how many times the TTL some callers cache an address.
+	addressTTLFactor = 3
+	// drainIdleTime is how long no request may have arrived before the host ends.
+	drainIdleTime     = 500 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
+	// closeTimeout is reserved for closing connections at the end of a drain.
+	closeTimeout = 700 * time.Millisecond
 )
 
-// Drain takes this host out of the directory, serves those that still come, and
-// ends when callers have had time to go elsewhere, or when ctx ends. It returns
-// the number of requests that were cut.
+// Drain removes this host from the directory and keeps serving requests until callers have had time
+// to move to other hosts, or until ctx ends. It returns the number of requests that were cut.
 func (h *Host) Drain(ctx context.Context) int {
 	h.leaving.Store(true)
-	h.post(DrainBegun{})
-	begun := h.opts.Timer.Now()
+	h.post(DrainStarted{})
+	start := h.opts.Timer.Now()
 	h.log.Info().Int64("Open", h.open.Load()).Msg(logger.Draining)
-	least := longKeepers*h.opts.Settings.Timing.AddressTTL.Std() + quietTime
+	minDrain := addressTTLFactor*h.opts.Settings.Timing.AddressTTL.Std() + drainIdleTime
 	for ctx.Err() == nil {
 		now := h.opts.Timer.Now()
-		if end, ok := ctx.Deadline(); ok && time.Until(end) < 2*closeTime {
+		if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < 2*closeTimeout {
 			break
 		}
-		quiet := now.Sub(h.started)-time.Duration(h.asked.Load()) > quietTime
-		if now.Sub(begun) > least && quiet && h.open.Load() == 0 {
+		idle := now.Sub(h.started)-time.Duration(h.lastRequest.Load()) > drainIdleTime
+		if now.Sub(start) > minDrain && idle && h.open.Load() == 0 {
 			break
 		}
-		pause(ctx, drainPoll)
+		pause(ctx, drainPollInterval)
 	}
 	h.exchanger.Close()
 	return h.stop()
 }
 
-// stop closes listeners and idle connections, and waits a little for what is
-// still under way.
+// stop closes listeners and idle connections, and waits briefly for requests in flight.
 func (h *Host) stop() int {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	for _, s := range h.servers {
 		if err := s.Shutdown(ctx); err != nil {
--- a/conductor/evacuation_test.go
+++ b/conductor/evacuation_test.go
@@ -13,9 +13,9 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// evacuationTime is the time within which nothing may be sent to a zone any more, also by
-// a host of a large fleet that the store refuses; the users' bound is 5 s.
-const evacuationTime = 3 * time.Second
+// evacuationBound is the time within which all hosts of a large fleet must stop using an evacuated
+// zone, including those that the store refuses.
+const evacuationBound = 3 * time.Second
 
 func evacuationCluster(hosts int) *cluster {
 	c := newCluster(hosts)
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestEvacuation: a zone that is evacuated gets nothing new from any host, those that the
-// store refuses and those that have just started included, and comes back with the
-// operators' word, also if its record was dropped while nobody could read the feed.
+// TestEvacuation: no host sends requests to an evacuated zone, including hosts that the store
+// refuses and hosts that have just started. The zone is used again once the evacuation is revoked,
+// even if its record was removed while no host could read the feed.
 func TestEvacuation(t *testing.T) {
 	for _, hosts := range []int{1, 5, 40} {
 		c := evacuationCluster(hosts)
@@ -48,7 +48,7 @@
 			c.set(c.nodes[0], accessRefuse)
 		}
 		c.write(follower.FeedOperator, "evacuate/east", "{}")
-		c.run(evacuationTime)
+		c.run(evacuationBound)
 		c.wantUpstreams(t, "evacuated", "b@west")
 
 		c.start(last)
@@ -58,13 +58,13 @@
 		c.write(follower.FeedOperator, "evacuate/east", "")
 		c.write(follower.FeedOperator, "evacuate/west", "{}")
 		for f, log := range c.logs {
-			c.first[f] = int64(len(log)) // the history is forgotten before anybody has read it
+			c.oldest[f] = int64(len(log)) // drop the history before any host has read it
 		}
-		c.run(evacuationTime)
+		c.run(evacuationBound)
 		c.wantUpstreams(t, "the other zone", "a@east")
 		assert.Assert(t, !last.node.view.Returned["east"].IsZero() || hosts == 1)
 		c.write(follower.FeedOperator, "evacuate/west", "")
-		c.run(evacuationTime)
+		c.run(evacuationBound)
 		c.wantUpstreams(t, "taken back", "a@east", "b@west")
 	}
 }
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -16,103 +16,103 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Event is something that happened to a host.
+// Event is an input of a Node.
 type Event interface{ event() }
 
-// Tick says that time has passed.
+// Tick is the periodic timer event.
 type Tick struct{}
 
-// FeedRead is the end of a Read.
+// FeedRead is the result of a Read.
 type FeedRead struct {
 	News  follower.News
-	Asked time.Time     // Asked is when the question was sent.
+	Asked time.Time     // Asked is when the request was sent.
 	Wait  time.Duration // Wait is how long the store could wait for a record.
 	Err   error
 }
 
-// PeerMessage is a message of another host.
+// PeerMessage is a message from another host.
 type PeerMessage struct {
 	From    string
 	Message *messenger.Message
 }
 
-// PeerUp says that a connection to another host was opened.
+// PeerUp reports that a connection to another host was opened.
 type PeerUp struct {
 	Host    string
-	Address string // Address is that for other hosts.
+	Address string // Address is where other hosts connect to it.
 }
 
-// HostsFound is the end of a Find: a page of announcements of hosts that may be there.
+// HostsFound is the result of a Find: a page of announcements of hosts, which may have ended.
 type HostsFound struct {
 	Hosts []tracker.HostRecord
-	Next  string // Next is where the next page begins; empty if none follows.
+	Next  string // Next is where the next page begins; empty if this is the last.
 	Err   error
 }
 
-// Announced is the end of an Announce.
+// Announced is the result of an Announce.
 type Announced struct{ Err error }
 
-// HostsSought is what hosts have announced, some of them long ago.
+// HostsSought is the result of a Seek. Some announcements may be long out of date.
 type HostsSought struct {
 	Hosts []tracker.HostRecord
-	Whole bool  // Whole tells that all announcements were read.
-	End   int64 // End is the offset after the newest announcement when the first was read.
+	Whole bool  // Whole reports whether all announcements were read.
+	End   int64 // End is the offset after the newest announcement when the first page was read.
 }
 
-// WorkReported is what this host has under way, for the others.
+// WorkReported is this host's load report for the others.
 type WorkReported struct {
 	Report placer.Report
-	Urgent bool    // Urgent tells that it was made out of turn, for a long prompt.
-	Use    float64 // Use is how many processor cores this host uses.
+	Urgent bool    // Urgent marks a report sent between two intervals, for a long prompt.
+	Use    float64 // Use is the number of processor cores in use by this host.
 }
 
-// RenewalEnd is the end of a renewer's command.
+// RenewalEnd is the result of a renewer's command.
 type RenewalEnd struct {
 	Command  renewer.Command
 	Lease    renewer.Lease       // Lease is the answer to ReadLease.
-	Conflict bool                // Conflict says that WriteLease found another record.
+	Conflict bool                // Conflict reports that WriteLease found another record.
 	Result   renewer.OrderResult // Result is the answer to Order.
 	Busy     bool                // Busy and Version are the answer to Ask.
 	Version  uint64
 	Err      error
 }
 
-// StoreHeard is news of a store of kept context that this host has asked.
-type StoreHeard struct{ Report placer.StoreReport }
+// StoreReported is a report from a KV cache store that this host watches.
+type StoreReported struct{ Report placer.StoreReport }
 
-// StoreGap says that a host has told changes of a store after others that this
-// host lacks.
+// StoreGap reports that a host sent changes of a KV cache store that follow others which this host
+// lacks.
 type StoreGap struct{ From string }
 
-// NamingsRecalled is what hosts of before have noted of weight versions.
-type NamingsRecalled struct{ Namings []follower.Naming }
-
-// EndsFound says that the quarantine has news for the other hosts.
-type EndsFound struct{}
-
-// EndsRecalled is what hosts of before have noted of requests that end upstreams.
-type EndsRecalled struct{ Words []quarantiner.Word }
-
-// DrainBegun says that this host is to end.
-type DrainBegun struct{}
-
-func (Tick) event()            {}
-func (FeedRead) event()        {}
-func (PeerMessage) event()     {}
-func (PeerUp) event()          {}
-func (HostsFound) event()      {}
-func (Announced) event()       {}
-func (HostsSought) event()     {}
-func (WorkReported) event()    {}
-func (RenewalEnd) event()      {}
-func (StoreHeard) event()      {}
-func (StoreGap) event()        {}
-func (NamingsRecalled) event() {}
-func (EndsFound) event()       {}
-func (EndsRecalled) event()    {}
-func (DrainBegun) event()      {}
-
-// Action is something that a host is to do.
+// NamingsRestored holds the weight versions that earlier hosts saved.
+type NamingsRestored struct{ Namings []follower.Naming }
+
+// QuarantineChanged reports that the quarantine has news for the other hosts.
+type QuarantineChanged struct{}
+
+// QuarantineRestored holds the bars that earlier hosts saved.
+type QuarantineRestored struct{ Words []quarantiner.Word }
+
+// DrainStarted reports that this host is about to end.
+type DrainStarted struct{}
+
+func (Tick) event()               {}
+func (FeedRead) event()           {}
+func (PeerMessage) event()        {}
+func (PeerUp) event()             {}
+func (HostsFound) event()         {}
+func (Announced) event()          {}
+func (HostsSought) event()        {}
+func (WorkReported) event()       {}
+func (RenewalEnd) event()         {}
+func (StoreReported) event()      {}
+func (StoreGap) event()           {}
+func (NamingsRestored) event()    {}
+func (QuarantineChanged) event()  {}
+func (QuarantineRestored) event() {}
+func (DrainStarted) event()       {}
+
+// Action is an output of a Node, to be executed by its host.
 type Action interface{ action() }
 
 // Send sends a message to another host.
@@ -128,13 +128,13 @@
 	Message *messenger.Message
 }
 
-// TakeStore hands another host's news of a store to placement.
-type TakeStore struct {
+// ApplyStoreReport passes another host's report of a KV cache store to the placer.
+type ApplyStoreReport struct {
 	From   string
 	Report placer.StoreReport
 }
 
-// Read asks the store for a page of a feed: the newest of each key if Full.
+// Read reads a page of a feed, or the newest record of each key if Full.
 type Read struct {
 	Feed follower.Feed
 	Full bool
@@ -142,56 +142,56 @@
 	Wait time.Duration // Wait is how long the store may wait for a record.
 }
 
-// Find asks the store for the page of announcements that begins behind a name.
+// Find reads the page of announcements that begins after a name.
 type Find struct{ After string }
 
-// Seek asks the store for all announcements of hosts.
+// Seek reads all announcements of hosts.
 type Seek struct{}
 
 // Announce writes this host's announcement.
 type Announce struct{}
 
-// Retract drops announcements of hosts that are gone for good.
+// Retract removes the announcements of hosts that are gone.
 type Retract struct {
 	Hosts []tracker.HostRecord
-	End   int64 // End is the offset after the newest announcement; later ones forbid it.
+	End   int64 // End is the offset after the newest announcement; a later one prevents the removal.
 }
 
-// PublishView gives traffic a new view.
+// PublishView publishes a new view to the request path.
 type PublishView struct{ View *follower.View }
 
-// PublishHosts gives the directory a new list.
+// PublishHosts publishes a new list of hosts to the directory.
 type PublishHosts struct {
 	Hosts   []tracker.HostRecord
-	Unheard map[string]bool // Unheard are those that may not be there: only their announcements are known.
+	Unheard map[string]bool // Unheard are hosts known only from their announcements; they may have ended.
 	Serving activator.Selection
 }
 
-// TakeReport hands a report to placement, of another host or summed up.
-type TakeReport struct {
+// ApplyReport passes another host's report, or a sum of reports, to the placer.
+type ApplyReport struct {
 	From   string
 	Report placer.Report
 }
 
-// Renew carries out a command of the renewer.
+// Renew executes a command of the renewer.
 type Renew struct{ Command renewer.Command }
 
-// Current says up to when the operators' feed is known.
-type Current struct{ At time.Time }
+// FeedCurrent reports up to when the operators' feed is known.
+type FeedCurrent struct{ At time.Time }
 
-// PublishCell says which cell of its zone this host is in, how many there are, and
-// whether it hears of the work of all hosts directly.
+// PublishCell says which cell of its zone this host is in, how many cells there are, and whether
+// all hosts report their load to it directly.
 type PublishCell struct {
 	Own, Cells int
 	Direct     bool
 }
 
-// PublishPhases names engines that load weights or will soon.
+// PublishPhases names the engines that load weights or will soon.
 type PublishPhases struct{ Engines map[string]renewer.Phase }
 
-// Note asks for a log line about a belief.
-type Note struct {
-	What   NoteKind
+// LogEvent writes a log line about a change of state.
+type LogEvent struct {
+	Kind   LogKind
 	Feed   follower.Feed
 	Host   string
 	Key    string
@@ -200,35 +200,35 @@
 	Err    error
 }
 
-// NoteKind says what a Note is about.
-type NoteKind string
+// LogKind is the message of a LogEvent.
+type LogKind string
 
 const (
-	NoteStoreLost      NoteKind = logger.StoreLost
-	NoteStoreBack      NoteKind = logger.StoreBack
-	NoteUnreadable     NoteKind = logger.RecordUnreadable
-	NoteRecord         NoteKind = logger.RecordApplied
-	NoteEvacuated      NoteKind = logger.ZoneEvacuated
-	NoteTakenBack      NoteKind = logger.ZoneTakenBack
-	NoteHostChanged    NoteKind = logger.HostChanged
-	NoteLapsesCounted  NoteKind = logger.LapsedEntriesRemoved
-	NoteVersionDoubted NoteKind = logger.VersionDoubted
-	NoteListingApplied NoteKind = logger.ListingApplied
+	LogStoreLost       LogKind = logger.StoreLost
+	LogStoreBack       LogKind = logger.StoreBack
+	LogUnreadable      LogKind = logger.RecordUnreadable
+	LogRecordApplied   LogKind = logger.RecordApplied
+	LogZoneEvacuated   LogKind = logger.ZoneEvacuated
+	LogEvacuationEnded LogKind = logger.ZoneTakenBack
+	LogHostChanged     LogKind = logger.HostChanged
+	LogLapsedRemoved   LogKind = logger.LapsedEntriesRemoved
+	LogVersionDoubted  LogKind = logger.VersionDoubted
+	LogListingApplied  LogKind = logger.ListingApplied
 )
 
-func (Send) action()          {}
-func (Spread) action()        {}
-func (TakeStore) action()     {}
-func (Read) action()          {}
-func (Find) action()          {}
-func (Seek) action()          {}
-func (Announce) action()      {}
-func (Retract) action()       {}
-func (PublishView) action()   {}
-func (PublishHosts) action()  {}
-func (TakeReport) action()    {}
-func (Renew) action()         {}
-func (Current) action()       {}
-func (PublishPhases) action() {}
-func (PublishCell) action()   {}
-func (Note) action()          {}
+func (Send) action()             {}
+func (Spread) action()           {}
+func (ApplyStoreReport) action() {}
+func (Read) action()             {}
+func (Find) action()             {}
+func (Seek) action()             {}
+func (Announce) action()         {}
+func (Retract) action()          {}
+func (PublishView) action()      {}
+func (PublishHosts) action()     {}
+func (ApplyReport) action()      {}
+func (Renew) action()            {}
+func (FeedCurrent) action()      {}
+func (PublishPhases) action()    {}
+func (PublishCell) action()      {}
+func (LogEvent) action()         {}
--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -11,63 +11,64 @@
 	"amaranthgate.example/amaranthgate/messenger"
 )
 
-// feed is how far a host knows one feed of the store.
+// feed is this host's copy of one feed of the store.
 type feed struct {
-	known    bool      // known tells that a listing was taken in.
-	next     int64     // next is the offset after the last record taken in.
-	fresh    time.Time // fresh is when what is known was the newest.
-	reading  bool
-	failing  bool
-	failures int       // failures counts those in a row.
-	again    time.Time // again is when the store may be asked after a failure.
-	asked    time.Time // asked is when another host was asked last.
-	handed   time.Time // handed is when a whole listing was told last; it may have been on the way for long.
-	asks     int       // asks counts questions for all of it.
-	behind   time.Time // behind is since when another host knows more.
-	newest   map[string]known
-	dropped  map[string]int64 // dropped are keys whose records were dropped, with the offset of that.
-	since    int64            // since is the offset from which on dropped has all.
-	shared   handover
-	heard    bool                 // heard tells that another host has told a page since this one last read.
-	alone    bool                 // alone tells that none did between this host's last two readings.
-	noted    map[string]time.Time // noted is when a line was written about an unreadable record of a key.
+	loaded           bool      // loaded is set once a listing was applied.
+	next             int64     // next is the offset after the last record applied.
+	currentAt        time.Time // currentAt is when this copy was last known to be current.
+	reading          bool
+	failing          bool
+	failures         int       // failures counts consecutive failures.
+	retryAt          time.Time // retryAt is the earliest time of the next read.
+	lastPeerRequest  time.Time // lastPeerRequest is when another host was last asked.
+	lastListing      time.Time // lastListing is when a listing last arrived; it may have been long in transit.
+	listingRequests  int       // listingRequests counts requests to peers for the whole feed.
+	behindSince      time.Time // behindSince is since when another host has known more.
+	newest           map[string]keyRecord
+	dropped          map[string]int64 // dropped maps removed keys to the offsets of their removals.
+	droppedFrom      int64            // droppedFrom is the offset from which on dropped is complete.
+	cached           cachedListing
+	heardPage        bool                 // heardPage is set when a peer sent a page since the last read.
+	soleReader       bool                 // soleReader is set if none did between the last two reads.
+	unreadableLogged map[string]time.Time // unreadableLogged is when a key was last logged as unreadable.
 }
 
 func newFeed() *feed {
-	return &feed{newest: make(map[string]known), dropped: make(map[string]int64), noted: make(map[string]time.Time)}
+	return &feed{newest: make(map[string]keyRecord), dropped: make(map[string]int64),
+		unreadableLogged: make(map[string]time.Time)}
 }
 
-// known is the newest record of a key.
-type known struct {
+// keyRecord is the newest record of a key.
+type keyRecord struct {
 	follower.Record
-	changed int64 // changed is the offset of the record of the key that last changed beliefs.
+	changed int64 // changed is the offset of the key's last record that changed the state.
 }
 
-// readFeed asks the store for more of a feed if that is this host's turn.
+// readFeed reads more of a feed from the store if it is this host's turn.
 func (n *Node) readFeed(now time.Time, name follower.Feed, f *feed) {
-	if !f.known {
-		n.askTeller(now, name, f)
+	if !f.loaded {
+		n.requestListing(now, name, f)
 	}
-	if f.reading || now.Before(f.again) || !f.known && n.othersTell(now) {
+	if f.reading || now.Before(f.retryAt) || !f.loaded && n.awaitsPeers(now) {
 		return
 	}
-	r := Read{Feed: name, Full: !f.known, From: f.next}
-	if f.known {
-		turn := n.turn(name)
+	r := Read{Feed: name, Full: !f.loaded, From: f.next}
+	if f.loaded {
+		age := n.readAge(name)
 		switch {
-		case turn == 0 || n.paths().ours && f.goesOn(now):
-			r.Wait = n.opts.Timing.Wait // the store answers at the next record
-		case now.Sub(f.fresh) < turn || now.Sub(f.handed) < turn:
+		case age == 0 || n.topology().selfActive && f.continuesReading(now):
+			r.Wait = n.opts.Timing.LongPoll // the store answers at the next record
+		case now.Sub(f.currentAt) < age || now.Sub(f.lastListing) < age:
 			return
 		default:
-			f.heard = false // it takes over, and tells the others so at once
+			f.heardPage = false // take over: without a wait, the page is broadcast at once
 		}
 	}
 	f.reading = true
-	n.do(r)
+	n.emit(r)
 }
 
-func (n *Node) feedRead(now time.Time, ev FeedRead) {
+func (n *Node) handleFeedRead(now time.Time, ev FeedRead) {
 	f := n.feeds[ev.News.Feed]
 	f.reading = false
 	if ev.Err != nil {
@@ -75,25 +76,25 @@
 		return
 	}
 	if f.failing {
-		n.do(Note{What: NoteStoreBack, Feed: ev.News.Feed, Age: now.Sub(f.fresh)})
+		n.emit(LogEvent{Kind: LogStoreBack, Feed: ev.News.Feed, Age: now.Sub(f.currentAt)})
 	}
 	f.failing, f.failures = false, 0
 	n.state.Answered(now)
-	asOf := covered(now, ev)
-	f.alone, f.heard = !ev.News.Full && !f.heard, false
-	told := n.take(now, ev.News, asOf)
-	f.again = now.Add(n.gatherTime())
+	asOf := coveredUntil(now, ev)
+	f.soleReader, f.heardPage = !ev.News.Full && !f.heardPage, false
+	forwarded := n.applyPage(now, ev.News, asOf)
+	f.retryAt = now.Add(n.readInterval())
 	if !ev.News.Full {
 		news := ev.News
 		news.Age = now.Sub(asOf)
-		news.Records = told
+		news.Records = forwarded
 		n.broadcast(&messenger.Message{News: []follower.News{news}})
 	}
 }
 
-// covered is the time up to which an answer says all. An answer that came after
-// the whole wait says that there was no record until the store gave up waiting.
-func covered(now time.Time, ev FeedRead) time.Time {
+// coveredUntil returns the time up to which an answer is complete. An empty answer after the full
+// wait covers the time until the store stopped waiting.
+func coveredUntil(now time.Time, ev FeedRead) time.Time {
 	took := now.Sub(ev.Asked)
 	if ev.Wait > 0 && took >= ev.Wait && len(ev.News.Records) == 0 {
 		return now.Add(ev.Wait - took)
@@ -103,148 +104,144 @@
 
 func (n *Node) readFailed(now time.Time, f *feed, ev FeedRead) {
 	if errors.Is(ev.Err, follower.ErrForgotten) {
-		f.known = false // the newest record of each key is still there
+		f.loaded = false // the newest record of each key is still available
 		return
 	}
 	if !f.failing {
-		n.do(Note{What: NoteStoreLost, Feed: ev.News.Feed, Age: now.Sub(f.fresh), Err: ev.Err})
+		n.emit(LogEvent{Kind: LogStoreLost, Feed: ev.News.Feed, Age: now.Sub(f.currentAt), Err: ev.Err})
 	}
 	f.failing = true
 	f.failures++
-	f.again = now.Add(n.againTime(ev.News.Feed, f.failures))
+	f.retryAt = now.Add(n.retryDelay(ev.News.Feed, f.failures))
 	n.state.Failed()
 }
 
-// take applies a page and remembers the newest record of each key.
-func (n *Node) take(now time.Time, news follower.News, asOf time.Time) (told []follower.Record) {
+// applyPage applies a page and returns the records to forward to other hosts.
+func (n *Node) applyPage(now time.Time, news follower.News, asOf time.Time) (forwarded []follower.Record) {
 	f := n.feeds[news.Feed]
-	if !news.Full && (!f.known || news.From > f.next) {
-		return nil // a gap lies between what is known and this page
+	if !news.Full && (!f.loaded || news.From > f.next) {
+		return nil // records between the known ones and this page are missing
 	}
 	for _, r := range news.Records {
 		if !news.Full && r.Offset < f.next {
-			if f.wasNews(news.Feed, r) {
-				told = append(told, r)
+			if f.changedState(news.Feed, r) {
+				forwarded = append(forwarded, r)
 			}
-			continue // it was taken in before, and perhaps what came after it
+			continue // already applied, and perhaps later records too
 		}
-		if n.apply(now, news.Feed, f, r) {
-			told = append(told, r)
+		if n.applyRecord(now, news.Feed, f, r) {
+			forwarded = append(forwarded, r)
 		}
 	}
 	if news.Full {
-		f.handed = now
-		n.takeListing(now, news, f)
+		f.lastListing = now
+		n.applyListing(now, news, f)
 	}
 	if news.Next > f.next {
-		f.next, f.behind = news.Next, time.Time{}
+		f.next, f.behindSince = news.Next, time.Time{}
 	}
-	if asOf.After(f.fresh) {
-		f.fresh = asOf
+	if asOf.After(f.currentAt) {
+		f.currentAt = asOf
 		if news.Feed == follower.FeedOperator {
 			n.state.Current(asOf)
-			n.do(Current{At: asOf})
+			n.emit(FeedCurrent{At: asOf})
 		}
 	}
-	return told
+	return forwarded
 }
 
-// wasNews tells that a record that another host has told this one before changed beliefs. A
-// page that is passed on covers it, and must have it: hosts that did not hear the other one
-// would else take the page for all that there was, and keep what they believed.
-func (f *feed) wasNews(name follower.Feed, r follower.Record) bool {
+// changedState reports whether a record that is already applied changed the state. It must be
+// forwarded with the page that covers it: a host that missed it would otherwise advance past it.
+func (f *feed) changedState(name follower.Feed, r follower.Record) bool {
 	if name != follower.FeedUpstreams || f.dropped[r.Key] >= r.Offset {
 		return true
 	}
-	had, ok := f.newest[r.Key]
-	return ok && had.changed >= r.Offset
+	old, ok := f.newest[r.Key]
+	return ok && old.changed >= r.Offset
 }
 
-func (n *Node) takeListing(now time.Time, news follower.News, f *feed) {
-	f.known, f.since = true, news.Next
+func (n *Node) applyListing(now time.Time, news follower.News, f *feed) {
+	f.loaded, f.droppedFrom = true, news.Next
 	listed := make(map[string]bool, len(news.Records))
 	for _, r := range news.Records {
 		listed[r.Key] = true
 	}
 	if news.Feed != follower.FeedUpstreams {
-		n.takeBack(now, news, f, listed)
-		return // what else operators have said stays in force until they say otherwise
+		n.endEvacuations(now, news, f, listed)
+		return // other operator settings stay in force until replaced
 	}
 	for key, r := range f.newest {
 		if !listed[key] && r.Offset < news.Next {
 			f.drop(key, news.Next-1)
 		}
 	}
-	n.do(Note{What: NoteListingApplied, Feed: news.Feed, Offset: news.Next})
+	n.emit(LogEvent{Kind: LogListingApplied, Feed: news.Feed, Offset: news.Next})
 	n.viewDirty = n.state.Replace(now, listed, news.Next) || n.viewDirty
 }
 
-// unreadable leaves a record out and reports whether others are to hear of it. An upstream
-// whose newest entry says nothing is not used, whatever an older one said. Whoever writes
-// such entries may do so all the time: each name gets a line every unreadableAgain.
-func (n *Node) unreadable(now time.Time, name follower.Feed, f *feed, r follower.Record, err error) (tell bool) {
+// skipUnreadable skips a record and reports whether to forward it. An upstream whose newest entry
+// is unreadable is removed. Log lines are limited per key.
+func (n *Node) skipUnreadable(now time.Time, name follower.Feed, f *feed, r follower.Record, err error) (forward bool) {
 	dropped := false
 	if name == follower.FeedUpstreams {
 		f.drop(r.Key, r.Offset)
 		dropped = n.state.Drop(r.Key, r.Offset)
 		n.viewDirty = n.viewDirty || dropped
 	}
-	if !dropped && now.Sub(f.noted[r.Key]) < unreadableAgain {
+	if !dropped && now.Sub(f.unreadableLogged[r.Key]) < unreadableLogInterval {
 		return false
 	}
-	f.noted[r.Key] = now
-	n.do(Note{What: NoteUnreadable, Feed: name, Key: r.Key, Offset: r.Offset, Err: err})
+	f.unreadableLogged[r.Key] = now
+	n.emit(LogEvent{Kind: LogUnreadable, Feed: name, Key: r.Key, Offset: r.Offset, Err: err})
 	return true
 }
 
-// unreadableAgain is the least time between two lines about records of one name that
-// cannot be read.
-const unreadableAgain = 10 * time.Second
+// unreadableLogInterval is the least time between two log lines about unreadable records of one
+// key.
+const unreadableLogInterval = 10 * time.Second
 
-// noteOf returns the log line of a record that changed what is believed.
-func noteOf(name follower.Feed, r follower.Record, change follower.Change) Note {
-	note := Note{What: NoteRecord, Feed: name, Key: r.Key, Offset: r.Offset}
+// recordLogEvent returns the log event of a record that changed the state.
+func recordLogEvent(name follower.Feed, r follower.Record, change follower.Change) LogEvent {
+	ev := LogEvent{Kind: LogRecordApplied, Feed: name, Key: r.Key, Offset: r.Offset}
 	if e := change.Evacuation; e != nil {
-		note.What, note.Key = NoteEvacuated, e.AvailabilityZone
+		ev.Kind, ev.Key = LogZoneEvacuated, e.AvailabilityZone
 		if e.Over {
-			note.What = NoteTakenBack
+			ev.Kind = LogEvacuationEnded
 		}
 	}
-	return note
+	return ev
 }
 
-// takeBack takes back the evacuations that a listing of the operators' feed does not name
-// any more: their records were dropped while this host did not read the feed.
-func (n *Node) takeBack(now time.Time, news follower.News, f *feed, listed map[string]bool) {
-	for key, known := range f.newest {
+// endEvacuations ends the evacuations that are missing from a listing of the operators' feed: their
+// records were removed while this host did not read the feed.
+func (n *Node) endEvacuations(now time.Time, news follower.News, f *feed, listed map[string]bool) {
+	for key, record := range f.newest {
 		dropped := follower.Record{Key: key, Offset: news.Next - 1}
-		if listed[key] || known.Offset >= dropped.Offset {
+		if listed[key] || record.Offset >= dropped.Offset {
 			continue
 		}
 		if change, err := n.opts.Decoder.Decode(news.Feed, dropped); err == nil && change.Evacuation != nil {
-			n.apply(now, news.Feed, f, dropped)
+			n.applyRecord(now, news.Feed, f, dropped)
 		}
 	}
 }
 
-// apply takes in a record and reports whether the other hosts are to hear of it: only what
-// changes beliefs is passed on, with how far the feed was read. Upstreams write their entries
-// every second or so, and nearly all say nothing new: 3,000 upstreams make 2,500 records a
-// second, and passed on every 5 s they were 24,700 kB/s at the busiest of 299 hosts.
-func (n *Node) apply(now time.Time, name follower.Feed, f *feed, r follower.Record) (tell bool) {
+// applyRecord applies a record and reports whether to forward it. Upstreams rewrite their entries
+// all the time, so unchanged entries are not forwarded.
+func (n *Node) applyRecord(now time.Time, name follower.Feed, f *feed, r follower.Record) (forward bool) {
 	if old, ok := f.newest[r.Key]; ok && old.Offset >= r.Offset {
 		return false
 	}
 	change, err := n.opts.Decoder.Decode(name, r)
 	if err != nil {
-		return n.unreadable(now, name, f, r, err)
+		return n.skipUnreadable(now, name, f, r, err)
 	}
 	changed := n.state.Apply(now, change, r.Offset)
-	f.remember(r, changed)
+	f.store(r, changed)
 	if changed {
-		n.do(noteOf(name, r, change))
+		n.emit(recordLogEvent(name, r, change))
 		n.viewDirty = true
 		return true
 	}
-	return name != follower.FeedUpstreams || len(r.Value) == 0 // an entry that says nothing new is no news
+	return name != follower.FeedUpstreams || len(r.Value) == 0 // unchanged upstream entries are not forwarded
 }
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -12,66 +12,66 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// offsets tells how far this host knows the feeds.
-func (n *Node) offsets() map[follower.Feed]int64 {
+// feedOffsets returns up to which offset this host knows each feed.
+func (n *Node) feedOffsets() map[follower.Feed]int64 {
 	out := make(map[follower.Feed]int64, len(n.feeds))
 	for name, f := range n.feeds {
-		if f.known {
+		if f.loaded {
 			out[name] = f.next
 		}
 	}
 	return out
 }
 
-// compare notices that another host knows more. A question to the store may hang
-// on a path that was cut, so this host asks the other one instead of waiting.
-func (n *Node) compare(now time.Time, host string, offsets map[follower.Feed]int64) {
+// compareOffsets requests records from a host that has known more for some time: this host's own
+// read may be stuck on a broken connection.
+func (n *Node) compareOffsets(now time.Time, host string, offsets map[follower.Feed]int64) {
 	for name, theirs := range offsets {
 		f := n.feeds[name]
-		if f == nil || f.known && theirs <= f.next {
+		if f == nil || f.loaded && theirs <= f.next {
 			continue
 		}
-		if f.behind.IsZero() {
-			f.behind = now
+		if f.behindSince.IsZero() {
+			f.behindSince = now
 		}
-		if now.Sub(f.behind) < n.opts.Timing.Behind || now.Sub(f.asked) < n.askAgain(f) || !f.known && !n.mayAsk(now) {
+		if now.Sub(f.behindSince) < n.opts.Timing.MaxLag || now.Sub(f.lastPeerRequest) < n.askInterval(f) ||
+			!f.loaded && !n.mayAskPeers(now) {
 			continue
 		}
-		f.ask(n, now, name, host)
+		f.requestFrom(n, now, name, host)
 	}
 }
 
-// ask asks another host for what this one lacks of a feed.
-func (f *feed) ask(n *Node, now time.Time, name follower.Feed, host string) {
-	f.asked = now
-	from := int64(allOfIt)
-	if f.known {
+// requestFrom asks another host for the records that this one lacks.
+func (f *feed) requestFrom(n *Node, now time.Time, name follower.Feed, host string) {
+	f.lastPeerRequest = now
+	from := int64(wholeFeed)
+	if f.loaded {
 		from = f.next
 	} else {
-		f.asks++
+		f.listingRequests++
 	}
 	n.send(host, &messenger.Message{Lacks: map[follower.Feed]int64{name: from}})
 }
 
-// askTeller asks a host that is known to have all that the store has. Without it a listing goes
-// from neighbour to neighbour, a heartbeat and a transfer each, and between availability zones as
-// often as within them.
-func (n *Node) askTeller(now time.Time, name follower.Feed, f *feed) {
-	if n.paths().small || now.Sub(f.asked) < n.askAgain(f) {
+// requestListing asks a ready host of this zone for a whole feed, rather than waiting until a
+// neighbour has it.
+func (n *Node) requestListing(now time.Time, name follower.Feed, f *feed) {
+	if n.topology().small || now.Sub(f.lastPeerRequest) < n.askInterval(f) {
 		return
 	}
-	if teller := n.teller(now); teller != "" {
-		f.ask(n, now, name, teller)
+	if source := n.listingSource(now); source != "" {
+		f.requestFrom(n, now, name, source)
 	}
 }
 
-// teller returns the host to ask for all that the store has: one that is ready, of this host's
-// availability zone, and another one for each host that asks.
-func (n *Node) teller(now time.Time) string {
-	t := n.paths()
-	ready := n.ready(t.serving.Zones[n.opts.Self.AvailabilityZone])
-	if len(ready) == 0 && (t.ours || now.Sub(n.first) >= farTeller) {
-		ready = n.ready(t.active)
+// listingSource returns the host to request a whole feed from: a ready one, of this zone if
+// possible. The choice differs between requesting hosts, to spread the load.
+func (n *Node) listingSource(now time.Time) string {
+	t := n.topology()
+	ready := n.readyOf(t.serving.Zones[n.opts.Self.AvailabilityZone])
+	if len(ready) == 0 && (t.selfActive || now.Sub(n.firstEvent) >= remoteSourceDelay) {
+		ready = n.readyOf(t.active)
 	}
 	if len(ready) == 0 {
 		return ""
@@ -79,10 +79,10 @@
 	return ready[tracker.Rank(n.opts.Self.Host, "teller")%uint64(len(ready))]
 }
 
-// farTeller is how long after its start a host that stands by asks none of another zone.
-const farTeller = 3 * time.Second
+// remoteSourceDelay is how long after its start a standby host requests nothing from other zones.
+const remoteSourceDelay = 3 * time.Second
 
-func (n *Node) ready(hosts []string) []string {
+func (n *Node) readyOf(hosts []string) []string {
 	var out []string
 	for _, h := range hosts {
 		if r, ok := n.hosts.Lookup(h); ok && r.Ready && h != n.opts.Self.Host {
@@ -92,128 +92,127 @@
 	return out
 }
 
-// mayAsk tells that a host that knows nothing may ask another one that knows something: in a large
-// fleet those that stand by ask tellers.
-func (n *Node) mayAsk(now time.Time) bool {
-	t := n.paths()
-	return t.small || t.ours || now.Sub(n.first) >= farTeller
+// mayAskPeers reports whether a host without a copy of a feed may request it from any peer. In a
+// large fleet standby hosts use listingSource first.
+func (n *Node) mayAskPeers(now time.Time) bool {
+	t := n.topology()
+	return t.small || t.selfActive || now.Sub(n.firstEvent) >= remoteSourceDelay
 }
 
-// allOfIt stands for the offset from which on a host that knows nothing lacks a feed.
-const allOfIt = -1
+// wholeFeed, as an offset, requests all records of a feed.
+const wholeFeed = -1
 
-// askAgain is the least time between two questions for a feed. A whole listing takes a
-// second to a narrow link, and asked for again meanwhile it takes longer.
-func (n *Node) askAgain(f *feed) time.Duration {
-	if f.known || n.paths().small {
-		return n.opts.Timing.Ask
+// askInterval returns the least time between two requests for a feed to peers. It backs off for
+// whole feeds, whose transfer over a slow link takes long.
+func (n *Node) askInterval(f *feed) time.Duration {
+	if f.loaded || n.topology().small {
+		return n.opts.Timing.AskInterval
 	}
-	return n.opts.Timing.AskAll << min(f.asks, mostDoublings)
+	return n.opts.Timing.ListingInterval << min(f.listingRequests, maxBackoffDoublings)
 }
 
-// mostDoublings bounds how often the time to the next question for a whole listing doubles.
-const mostDoublings = 3
+// maxBackoffDoublings bounds the backoff of requests for a whole feed.
+const maxBackoffDoublings = 3
 
-// What one host asks of another besides pages.
+// Requests between hosts other than for pages.
 const (
-	wantStores   = "Stores"   // wantStores asks for all that it knows of stores.
-	wantKept     = "Kept"     // wantKept asks for all that it knows of kept context.
-	wantAnnounce = "Announce" // wantAnnounce asks it to announce itself.
+	wantStores   = "Stores"   // wantStores requests all KV cache store reports.
+	wantKept     = "Kept"     // wantKept requests all that is known of KV caches.
+	wantAnnounce = "Announce" // wantAnnounce requests that the receiver announce itself.
 )
 
-func (n *Node) askStores(now time.Time, host string) {
-	if now.Sub(n.lastStores) < n.opts.Timing.Ask {
+func (n *Node) requestStores(now time.Time, host string) {
+	if now.Sub(n.lastStores) < n.opts.Timing.AskInterval {
 		return
 	}
 	n.lastStores = now
 	n.send(host, &messenger.Message{Wants: []string{wantStores}})
 }
 
-// answerWants hands over what another host asks for.
+// answerWants answers the requests of another host.
 func (n *Node) answerWants(to string, wants []string) {
 	if slices.Contains(wants, wantStores) {
 		n.send(to, &messenger.Message{Stores: n.opts.Stores()})
 	}
 	if slices.Contains(wants, wantKept) {
-		n.send(to, n.kept())
+		n.send(to, n.cacheState())
 	}
 	if slices.Contains(wants, wantAnnounce) {
-		n.do(Announce{})
+		n.emit(Announce{})
 	}
 }
 
-// handOver tells another host what it lacks of feeds: what changed since, or all.
-func (n *Node) handOver(now time.Time, to string, lacks map[follower.Feed]int64) {
+// sendMissing sends another host what it lacks of feeds: the changes since an offset, or the whole
+// feed.
+func (n *Node) sendMissing(now time.Time, to string, lacks map[follower.Feed]int64) {
 	for name, from := range lacks {
 		f := n.feeds[name]
-		if f == nil || !f.known {
+		if f == nil || !f.loaded {
 			continue
 		}
-		if from >= f.since {
-			news := follower.News{Feed: name, Kept: true, From: from, Next: f.next, Age: now.Sub(f.fresh), Records: f.changes(from)}
+		if from >= f.droppedFrom {
+			news := follower.News{Feed: name, Kept: true, From: from, Next: f.next,
+				Age: now.Sub(f.currentAt), Records: f.changesSince(from)}
 			n.send(to, &messenger.Message{News: []follower.News{news}})
 			continue
 		}
-		n.send(to, f.handOver(now, name))
+		n.send(to, f.listing(now, name))
 	}
 }
 
-// handover is a whole listing as it was last told. It is used again for a while: after a
-// loss of all, some 80 hosts of a zone ask for it within a second, and encoding what is
-// known of 3,000 upstreams takes 10 ms of a whole core.
-type handover struct {
+// cachedListing is a listing that is reused for several hosts, so that it is encoded once: many
+// hosts request it together after a restart of the fleet.
+type cachedListing struct {
 	message *messenger.Message
 	made    time.Time
 }
 
-// handoverLife is how long a listing is told again. What has changed since is asked for
-// by its offset.
-const handoverLife = 400 * time.Millisecond
+// listingTTL is how long a listing is reused. Receivers request later changes by offset.
+const listingTTL = 400 * time.Millisecond
 
-func (f *feed) handOver(now time.Time, name follower.Feed) *messenger.Message {
-	if f.shared.message != nil && now.Sub(f.shared.made) < handoverLife {
-		return f.shared.message
+func (f *feed) listing(now time.Time, name follower.Feed) *messenger.Message {
+	if f.cached.message != nil && now.Sub(f.cached.made) < listingTTL {
+		return f.cached.message
 	}
-	news := follower.News{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.fresh) + handoverLife}
+	news := follower.News{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.currentAt) + listingTTL}
 	for _, r := range f.newest {
 		news.Records = append(news.Records, r.Record)
 	}
-	f.shared = handover{message: &messenger.Message{News: []follower.News{news}}, made: now}
-	return f.shared.message
+	f.cached = cachedListing{message: &messenger.Message{News: []follower.News{news}}, made: now}
+	return f.cached.message
 }
 
-// remember keeps the newest record of a key, for hosts that ask.
-func (f *feed) remember(r follower.Record, changed bool) {
+// store keeps the newest record of a key, for hosts that request it.
+func (f *feed) store(r follower.Record, changed bool) {
 	if len(r.Value) == 0 {
 		f.drop(r.Key, r.Offset)
-		delete(f.noted, r.Key)
+		delete(f.unreadableLogged, r.Key)
 		return
 	}
-	next := known{Record: r, changed: r.Offset}
-	if had, ok := f.newest[r.Key]; ok && !changed {
-		next.changed = had.changed
+	next := keyRecord{Record: r, changed: r.Offset}
+	if old, ok := f.newest[r.Key]; ok && !changed {
+		next.changed = old.changed
 	}
 	f.newest[r.Key] = next
 	delete(f.dropped, r.Key)
 }
 
-// mostDropped bounds how many dropped keys are remembered. A host that lacks more asks
-// for the whole listing.
-const mostDropped = 4096
+// maxDropped bounds the number of removed keys kept. A host that lacks more requests the whole
+// feed.
+const maxDropped = 4096
 
-// drop forgets the record of a key.
+// drop removes the record of a key.
 func (f *feed) drop(key string, offset int64) {
 	delete(f.newest, key)
-	if len(f.dropped) >= mostDropped {
+	if len(f.dropped) >= maxDropped {
 		clear(f.dropped)
-		f.since = offset + 1
+		f.droppedFrom = offset + 1
 	}
 	f.dropped[key] = offset
 }
 
-// changes returns the records, and the drops, by which beliefs have changed from an offset
-// on.
-func (f *feed) changes(from int64) []follower.Record {
+// changesSince returns the records and removals that changed the state at or after an offset.
+func (f *feed) changesSince(from int64) []follower.Record {
 	var out []follower.Record
 	for _, r := range f.newest {
 		if r.changed >= from {
@@ -228,17 +227,17 @@
 	return out
 }
 
-// hear takes in pages that another host has read.
-func (n *Node) hear(now time.Time, pages []follower.News) {
+// receivePages applies pages that another host sent.
+func (n *Node) receivePages(now time.Time, pages []follower.News) {
 	for _, news := range pages {
 		f, ok := n.feeds[news.Feed]
-		if !ok || news.Full && f.known && news.Next <= f.next {
+		if !ok || news.Full && f.loaded && news.Next <= f.next {
 			continue
 		}
 		if !news.Full && !news.Kept {
-			f.heard = true
-			n.state.Answered(now) // it has answered another host, so it is there
+			f.heardPage = true
+			n.state.Answered(now) // the store has answered another host, so it is reachable
 		}
-		n.take(now, news, now.Add(-news.Age))
+		n.applyPage(now, news, now.Add(-news.Age))
 	}
 }
--- a/conductor/handover_test.go
+++ b/conductor/handover_test.go
@@ -14,10 +14,10 @@
 	"amaranthgate.example/amaranthgate/messenger"
 )
 
-// listings counts the records of whole listings that hosts tell each other of a feed.
-func (c *cluster) listings(f follower.Feed) *int {
+// countListings counts the whole listings of a feed that hosts send each other.
+func (c *cluster) countListings(f follower.Feed) *int {
 	n := new(int)
-	c.seen = func(ev PeerMessage) {
+	c.onMessage = func(ev PeerMessage) {
 		for _, news := range ev.Message.News {
 			if news.Feed == f && news.Full {
 				*n++
@@ -27,8 +27,8 @@
 	return n
 }
 
-// TestGapIsFilledWithChanges: a host that missed pages, whichever it is, asks for what has
-// changed since, drops included, and gets no whole listing.
+// TestGapIsFilledWithChanges: a host that missed pages requests the changes since, including
+// removals, and gets no whole listing.
 func TestGapIsFilledWithChanges(t *testing.T) {
 	for victim := range 3 {
 		c := newCluster(3)
@@ -37,7 +37,7 @@
 			c.write(follower.FeedUpstreams, fmt.Sprint("u", i), "ready")
 		}
 		c.run(2 * time.Second)
-		told := c.listings(follower.FeedUpstreams)
+		listings := c.countListings(follower.FeedUpstreams)
 		last := c.nodes[victim]
 		c.set(last, accessRefuse)
 		last.paused = true
@@ -45,25 +45,25 @@
 		c.write(follower.FeedUpstreams, "u8", "leaving")
 		c.write(follower.FeedUpstreams, "u90", "ready")
 		c.run(2 * time.Second)
-		last.inbox, last.paused = nil, false // what came while it stood still is lost
+		last.inbox, last.paused = nil, false // drop the messages sent during the pause
 		c.write(follower.FeedUpstreams, "u91", "ready")
-		c.run(5 * time.Second) // a removal that is heard while the store refuses this host may be a lapse for 2 s
+		c.run(5 * time.Second) // a removal may count as a lapse for 2 s while the store refuses this host
 		for _, s := range c.nodes {
 			assert.Equal(t, len(s.node.view.Taking("s")), 50, s.name)
 		}
 		assert.DeepEqual(t, last.node.view.Taking("s"), c.nodes[(victim+1)%3].node.view.Taking("s"))
-		assert.Equal(t, *told, 0)
+		assert.Equal(t, *listings, 0)
 	}
 }
 
-// TestStartOfLargeFleet: hosts that start beside others get one listing each of what these
-// know, and do not ask again while it is under way.
+// TestStartOfLargeFleet: hosts that join a running fleet get one listing each and don't request
+// another while it is in transit.
 func TestStartOfLargeFleet(t *testing.T) {
 	c := newCluster(60)
 	c.write(follower.FeedOperator, "config", "version 1")
 	c.write(follower.FeedUpstreams, "a", "ready")
 	c.run(4 * time.Second)
-	told := c.listings(follower.FeedUpstreams)
+	listings := c.countListings(follower.FeedUpstreams)
 	for _, s := range c.nodes[30:] {
 		c.start(s)
 	}
@@ -71,20 +71,20 @@
 	for _, s := range c.nodes {
 		assert.Assert(t, s.node.view.Ready(), s.name)
 	}
-	assert.Assert(t, *told <= 60, "%d listings for 30 hosts", *told)
+	assert.Assert(t, *listings <= 60, "%d listings for 30 hosts", *listings)
 }
 
-// TestSecondReaderTellsAll: two hosts read the same page, and one of them hears the other
-// before its own answer comes. Its page has all that may be news to a host that it alone
-// reaches, and not what says nothing new.
-func TestSecondReaderTellsAll(t *testing.T) {
+// TestSecondReaderForwardsAll: two hosts read the same page, and one receives the other's page
+// before its own answer. It still forwards all records that changed the state, and no unchanged
+// entries.
+func TestSecondReaderForwardsAll(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		feed   follower.Feed
-		key    string
-		before string
-		value  string
-		told   bool
+		name      string
+		feed      follower.Feed
+		key       string
+		before    string
+		value     string
+		forwarded bool
 	}{
 		{"a configuration", follower.FeedOperator, "config", "version 1", "version 2", true},
 		{"an evacuation", follower.FeedOperator, "evacuate/east", "", "{}", true},
@@ -105,15 +105,15 @@
 			next := n.feeds[c.feed].next
 			page := follower.News{Feed: c.feed, From: next, Next: next + 1, Records: []follower.Record{{Key: c.key, Value: []byte(c.value), Offset: next}}}
 			n.Handle(cl.now, PeerMessage{From: "host-1", Message: &messenger.Message{News: []follower.News{page}}})
-			told := 0
+			forwarded := 0
 			for _, a := range n.Handle(cl.now, FeedRead{News: page, Asked: cl.now}) {
 				if s, ok := a.(Spread); ok {
 					for _, news := range s.Message.News {
-						told += len(news.Records)
+						forwarded += len(news.Records)
 					}
 				}
 			}
-			assert.Equal(t, told == 1, c.told)
+			assert.Equal(t, forwarded == 1, c.forwarded)
 		})
 	}
 }
--- a/conductor/host.go
+++ b/conductor/host.go
@@ -34,29 +34,28 @@
 	Decoder
 	Newest(ctx context.Context, f follower.Feed) (follower.News, error)
 	Read(ctx context.Context, f follower.Feed, from int64, wait time.Duration) (follower.News, error)
-	// Announce writes what other hosts need to find this one.
+	// Announce writes this host's announcement, by which other hosts find it.
 	Announce(ctx context.Context, host string, card []byte) error
-	// Announced returns a page of what hosts have announced, by name, from behind a name on.
+	// Announced returns the page of announcements, ordered by name, that begins after a name.
 	Announced(ctx context.Context, after string) (tracker.Announcements, error)
-	// Retract drops an announcement if the newest of all ends at an offset.
+	// Retract removes an announcement if the newest of all announcements ends at offset at.
 	Retract(ctx context.Context, name string, at int64) error
-	// Note keeps a value under a key, for hosts that start after a loss of all; Notes
-	// returns all of them.
+	// Note saves a value under a key, for hosts that start after the whole fleet was down. Notes
+	// returns all saved values.
 	Note(ctx context.Context, key string, value []byte) error
 	Notes(ctx context.Context) (map[string][]byte, error)
-	// Lease returns the newest record of a lease and the offset after it, 0 if
-	// there is none.
+	// Lease returns the newest record of a lease and the offset after it; end is 0 if there is
+	// none.
 	Lease(ctx context.Context, name string) (record []byte, end int64, err error)
-	// WriteLease writes a lease's record if the newest one ends at an offset. It
-	// reports a conflict if it does not.
+	// WriteLease writes a lease's record if the newest one ends at offset at, and reports a
+	// conflict otherwise.
 	WriteLease(ctx context.Context, name string, at int64, record []byte) (conflict bool, err error)
 }
 
-// Engines gives orders to engines.
+// Engines sends orders to engines.
 type Engines interface {
 	Order(ctx context.Context, holder string, o renewer.Order) renewer.OrderResult
-	// Ask returns whether an engine carries out an order, and the version that it
-	// has of a model.
+	// Ask reports whether an engine is carrying out an order, and its version of a model.
 	Ask(ctx context.Context, a renewer.Ask) (busy bool, version uint64, err error)
 }
 
@@ -67,7 +66,7 @@
 	Directory() http.Handler
 }
 
-// Options set up a Host.
+// Options configures a Host.
 type Options struct {
 	Settings loader.Settings
 	Store    Store
@@ -79,17 +78,16 @@
 	Timing   Timing
 	Timer    timer.Service
 	Log      *logger.Logger
-	Dropped  func() uint64 // Dropped is the number of log lines that were lost because nobody read them.
+	Dropped  func() uint64 // Dropped returns the number of log lines lost to a slow writer.
 }
 
 // Host is one process of the system.
 type Host struct {
-	opts   Options
-	log    *logger.Logger
-	node   *Node
-	placer *placer.Placer
-	budget *retrier.Shared
-	// quarantine remembers under which requests upstreams have ended.
+	opts       Options
+	log        *logger.Logger
+	node       *Node
+	placer     *placer.Placer
+	budget     *retrier.Shared
 	quarantine *quarantiner.Ledger
 	exchanger  *exchanger.Exchanger
 	messenger  *messenger.Messenger
@@ -101,25 +99,24 @@
 
 	view    atomic.Pointer[follower.View]
 	hosts   atomic.Pointer[[]tracker.HostRecord]
-	serving atomic.Pointer[activator.Selection] // serving is which hosts serve callers.
-	use     meter
-	unheard atomic.Pointer[map[string]bool] // unheard are hosts that may not be there.
-	// reporting keeps reports in the order in which they were made: one that is older
-	// would undo a newer part.
-	reporting sync.Mutex
-	garbage   int           // garbage is how much the heap may grow until it is collected.
-	senders   senders       // senders are the hosts that may send to upstreams, or lately might.
-	reports   int           // reports counts the ticks of reports.
-	ends      chan struct{} // ends asks to tell the other hosts under which requests upstreams have ended.
-	urgent    chan struct{} // urgent asks for a report at once.
-	eased     chan struct{} // eased asks to look whether upstreams can begin requests that wait.
-	leaving   atomic.Bool
-	keeper    atomic.Bool // keeper tells that this host is first in rank to free kept context.
-	open      atomic.Int64
-	started   time.Time
-	asked     atomic.Int64 // asked is when the last request came, in nanoseconds after started: the time of day may jump.
-	servers   []*http.Server
-	watched   map[string]context.CancelFunc // watched are the stores of kept context that are asked for news.
+	serving atomic.Pointer[activator.Selection] // serving is the selection of hosts that serve callers.
+	cpu     meter
+	unheard atomic.Pointer[map[string]bool] // unheard are hosts known only from their announcements.
+	// reportMu keeps reports in order: an older report must not overwrite a newer one.
+	reportMu          sync.Mutex
+	gcPercent         int     // gcPercent is the garbage collector's target percentage.
+	senders           senders // senders are the hosts that send to upstreams or recently did.
+	reportTicks       int
+	quarantineChanged chan struct{} // quarantineChanged signals news for the other hosts.
+	reportRequested   chan struct{} // reportRequested signals that a report is due at once.
+	capacityFreed     chan struct{} // capacityFreed signals that upstreams may have room.
+	leaving           atomic.Bool
+	evictsStores      atomic.Bool // evictsStores is set on the host that evicts unused KV caches.
+	open              atomic.Int64
+	started           time.Time
+	lastRequest       atomic.Int64 // lastRequest is when the last request arrived, in ns after started.
+	servers           []*http.Server
+	storeWatches      map[string]context.CancelFunc // storeWatches are by store address.
 }
 
 // eventQueue is the number of events that may wait for the control loop.
@@ -130,29 +127,28 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := opts.Settings
 	h := &Host{
-		opts:    opts,
-		started: opts.Timer.Now(),
-		log:     opts.Log,
-		events:  make(chan Event, eventQueue),
-		watched: make(map[string]context.CancelFunc),
-		senders: make(senders),
-		ctx:     ctx,
-		cancel:  cancel,
-		urgent:  make(chan struct{}, 1),
-		ends:    make(chan struct{}, 1),
-		eased:   make(chan struct{}, 1),
-		budget:  retrier.NewShared(retrier.Allowance{Share: s.Platform.RetryShare, Slack: s.Platform.RetrySlack}),
+		opts:              opts,
+		started:           opts.Timer.Now(),
+		log:               opts.Log,
+		events:            make(chan Event, eventQueue),
+		storeWatches:      make(map[string]context.CancelFunc),
+		senders:           make(senders),
+		ctx:               ctx,
+		cancel:            cancel,
+		reportRequested:   make(chan struct{}, 1),
+		quarantineChanged: make(chan struct{}, 1),
+		capacityFreed:     make(chan struct{}, 1),
+		budget:            retrier.NewShared(retrier.Allowance{Share: s.Platform.RetryShare, Slack: s.Platform.RetrySlack}),
 	}
-	h.quarantine = quarantiner.New(quarantiner.Options{Changed: h.endsFound, Barred: h.recordBarred})
+	h.quarantine = quarantiner.New(quarantiner.Options{Changed: h.signalQuarantineChange, Barred: h.logBarred})
 	h.placer = h.newPlacer()
 	self := h.self()
 	h.node = h.newNode(self)
 	h.view.Store(&follower.View{})
 	h.hosts.Store(&[]tracker.HostRecord{self})
 	h.unheard.Store(&map[string]bool{})
-	// Until the node says who serves, this host is none of them: one that took itself for the
-	// only one would ask all stores of kept context for their news, and 985 that start together
-	// asked each 985 times.
+	// Until the node has selected the serving hosts, this host is none of them. Otherwise each host
+	// of a starting fleet would watch all KV cache stores.
 	h.serving.Store(&activator.Selection{})
 	h.exchanger = exchanger.New(exchanger.Options{
 		Beliefs:    &h.view,
@@ -160,11 +156,11 @@
 		Sender:     opts.Sender,
 		Budget:     h.budget,
 		Timer:      opts.Timer,
-		Chosen:     h.recordChoice,
+		Chosen:     h.logChoice,
 		Quarantine: h.quarantine,
 		Refuses:    opts.Pool.Refuses,
 		Gone:       opts.Pool.Gone,
-		Ended:      h.recordEnded,
+		Ended:      h.logUpstreamEnded,
 	})
 	h.messenger = messenger.New(messenger.Options{
 		Self:    messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
@@ -188,7 +184,7 @@
 	}
 }
 
-// Start listens and begins to read the store.
+// Start opens the listeners and starts the control loop.
 func (h *Host) Start() error {
 	edge := h.opts.Edge(h)
 	s := h.opts.Settings
@@ -207,22 +203,23 @@
 			return err
 		}
 	}
-	h.goDo(h.loop)
-	h.goDo(h.keepStores)
-	h.goDo(h.reportUrgently)
-	h.goDo(h.reportEnds)
-	h.goDo(h.admit)
+	h.spawn(h.loop)
+	h.spawn(h.evictUnused)
+	h.spawn(h.sendUrgentReports)
+	h.spawn(h.reportQuarantine)
+	h.spawn(h.admitWaiting)
 	cancelTick := h.opts.Timer.Every(h.opts.Timing.Tick, func(time.Time) { h.post(Tick{}) })
 	cancelReport := h.opts.Timer.Every(h.opts.Timing.Report, h.report)
 	cancelAccount := h.opts.Timer.Every(time.Second, func(time.Time) { h.log.Account() })
 	context.AfterFunc(h.ctx, cancelTick)
 	context.AfterFunc(h.ctx, cancelAccount)
 	context.AfterFunc(h.ctx, cancelReport)
-	h.log.Info().Str("Host", s.Host).Str("AvailabilityZone", s.AvailabilityZone).Str("Store", s.Platform.Store).Msg(logger.Started)
+	h.log.Info().Str("Host", s.Host).Str("AvailabilityZone", s.AvailabilityZone).
+		Str("Store", s.Platform.Store).Msg(logger.Started)
 	return nil
 }
 
-func (h *Host) goDo(f func()) {
+func (h *Host) spawn(f func()) {
 	h.work.Add(1)
 	go func() {
 		defer h.work.Done()
@@ -230,9 +227,8 @@
 	}()
 }
 
-// headerTimeout and idleTimeout bound connections of callers. They are above
-// what operators set on any route table, since a server's limits are fixed when
-// it starts.
+// headerTimeout and idleTimeout bound connections of callers. They exceed the limits of any route
+// table, since a server's limits are fixed at its start.
 const (
 	headerTimeout = 15 * time.Second
 	idleTimeout   = 2 * time.Minute
@@ -250,7 +246,7 @@
 		MaxHeaderBytes:    h.opts.Settings.Limits.HeaderBytes,
 	}
 	h.servers = append(h.servers, server)
-	h.goDo(func() {
+	h.spawn(func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			h.log.Error().Err(err).Str("Address", address).Msg(logger.ListenerEnded)
 		}
@@ -258,23 +254,23 @@
 	return nil
 }
 
-// Handle takes a caller's request to its answer.
+// Handle serves a caller's request.
 func (h *Host) Handle(ctx context.Context, r *exchanger.Request, w exchanger.Responder) {
 	h.open.Add(1)
-	h.asked.Store(int64(h.opts.Timer.Now().Sub(h.started)))
+	h.lastRequest.Store(int64(h.opts.Timer.Now().Sub(h.started)))
 	defer h.open.Add(-1)
 	o := h.exchanger.Handle(ctx, r, w)
 	h.counters.request(o)
-	h.record(r, o)
+	h.logRequest(r, o)
 }
 
-// Ready tells that this host takes callers.
+// Ready reports whether this host takes callers.
 func (h *Host) Ready() bool { return h.view.Load().Ready() && !h.leaving.Load() }
 
-// Leaving tells that this host is ending.
+// Leaving reports whether this host is draining.
 func (h *Host) Leaving() bool { return h.leaving.Load() }
 
-// BodyBytes is the largest body that is read.
+// BodyBytes returns the largest request body accepted.
 func (h *Host) BodyBytes() int64 {
 	limits := matcher.Limits{BodyBytes: h.opts.Settings.Limits.BodyBytes}
 	if t := h.view.Load().Table; t != nil && t.Limits().BodyBytes > 0 {
@@ -283,12 +279,13 @@
 	return limits.BodyBytes
 }
 
-// Reload takes over the retry allowance; all else is fixed when a host starts.
+// Reload applies the retry allowance; all other settings are fixed at the start.
 func (h *Host) Reload(s loader.Settings) {
 	if s.Platform == nil {
 		h.log.Error().Str("Reason", "the settings name no platform").Msg(logger.ReloadRefused)
 		return
 	}
 	h.budget.SetAllowance(retrier.Allowance{Share: s.Platform.RetryShare, Slack: s.Platform.RetrySlack})
-	h.log.Info().Float64("RetryShare", s.Platform.RetryShare).Float64("RetrySlack", s.Platform.RetrySlack).Msg(logger.SettingsReloaded)
+	h.log.Info().Float64("RetryShare", s.Platform.RetryShare).
+		Float64("RetrySlack", s.Platform.RetrySlack).Msg(logger.SettingsReloaded)
 }
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -13,67 +13,65 @@
 )
 
 const (
-	// greetInterval is the least time between two host lists to one host.
-	greetInterval = time.Second
-	// differTime is how long another host's view of all hosts must have differed before
-	// the views are compared, in a large fleet. What is passed on from host to host
-	// settles most differences by then: with whole lists at the first sign, a change of
-	// one record set 100 MB in motion among 295 hosts.
-	differTime = time.Second
+	// minGreetInterval is the least time between two host lists sent to one host.
+	minGreetInterval = time.Second
+	// digestSettleTime is how long another host's digest must have differed before the hosts
+	// exchange records, in a large fleet. Gossip settles most differences earlier.
+	digestSettleTime = time.Second
 )
 
-// beat sends heartbeats and looks for silent hosts. Hosts that share the work of callers
-// hear each other at short intervals, by heartbeats or by reports of work; all others by
-// heartbeats at longer ones.
-func (n *Node) beat(now time.Time) {
-	if now.Sub(n.lastBeat) < n.opts.Timing.Beat {
+// heartbeat sends heartbeats and checks for silent hosts. Active hosts hear from each other at
+// short intervals, by heartbeats or load reports; all others at longer ones.
+func (n *Node) heartbeat(now time.Time) {
+	if now.Sub(n.lastHeartbeat) < n.opts.Timing.Heartbeat {
 		return
 	}
-	n.lastBeat = now
+	n.lastHeartbeat = now
 	if news := n.hosts.Tick(now); len(news) > 0 {
-		n.noteHosts(news)
-		n.spreadHosts("", news)
+		n.recordHostChanges(news)
+		n.sendHostsToNeighbours("", news)
 	}
-	prompt, slow := n.byPace()
+	fast, slow := n.neighboursByPace()
 	n.opts.Quarantine.Expire(now)
-	m := &messenger.Message{Digest: n.hosts.Digest(), Offsets: n.offsets(), EndedDigest: n.opts.Quarantine.Digest()}
-	if now.Sub(n.lastSlow) >= n.opts.Timing.BeatStandby {
-		n.lastSlow = now
-		n.sendAll(prompt, "", m)
+	m := &messenger.Message{Digest: n.hosts.Digest(), Offsets: n.feedOffsets(),
+		EndedDigest: n.opts.Quarantine.Digest()}
+	if now.Sub(n.lastStandbyHeartbeat) >= n.opts.Timing.HeartbeatStandby {
+		n.lastStandbyHeartbeat = now
+		n.sendAll(fast, "", m)
 		n.sendAll(slow, "", m)
-	} else if now.Sub(n.lastTold) >= n.opts.Timing.Beat {
-		n.sendAll(prompt, "", m)
+	} else if now.Sub(n.lastReport) >= n.opts.Timing.Heartbeat {
+		n.sendAll(fast, "", m)
 	}
-	if t := n.paths(); !t.small && t.relaying(n.opts.Self.Host) && now.Sub(n.lastPaged) >= relaySilence {
-		n.lastPaged = now
+	if t := n.topology(); !t.small && t.isRelay(n.opts.Self.Host) && now.Sub(n.lastRelayed) >= maxRelaySilence {
+		n.lastRelayed = now
 		n.sendAll(t.members, "", &messenger.Message{Offsets: m.Offsets})
 	}
 }
 
-// relaySilence is how long a relay may tell its zone nothing. It is under the silence
-// after which what it passes on would be taken for old.
-const relaySilence = delayGap - 2*delayDoubt/3
+// maxRelaySilence is how long a relay may send its zone nothing. It is less than staleGap, so that
+// what it forwards is not taken for stale.
+const maxRelaySilence = staleGap - 2*staleWindow/3
 
-// byPace divides the neighbours into those that expect to hear from this host at short
-// intervals and the others.
-func (n *Node) byPace() (prompt, slow []string) {
+// neighboursByPace divides the neighbours into those that expect heartbeats at short intervals and
+// the others.
+func (n *Node) neighboursByPace() (fast, slow []string) {
 	for _, h := range n.hosts.Neighbours() {
 		if n.hosts.Prompt(h) {
-			prompt = append(prompt, h)
+			fast = append(fast, h)
 		} else {
 			slow = append(slow, h)
 		}
 	}
-	return prompt, slow
+	return fast, slow
 }
 
-// spreadHosts passes news of hosts on to all neighbours but one.
-func (n *Node) spreadHosts(except string, news []tracker.HostRecord) {
-	n.spread(except, &messenger.Message{Hosts: news})
+// sendHostsToNeighbours sends changed host records to all neighbours but one.
+func (n *Node) sendHostsToNeighbours(except string, news []tracker.HostRecord) {
+	n.sendToNeighbours(except, &messenger.Message{Hosts: news})
 }
 
-// spread sends a message to all neighbours but one.
-func (n *Node) spread(except string, m *messenger.Message) {
+// sendToNeighbours sends a message to all neighbours but one.
+func (n *Node) sendToNeighbours(except string, m *messenger.Message) {
 	n.sendAll(n.hosts.Neighbours(), except, m)
 }
 
@@ -85,54 +83,52 @@
 		}
 	}
 	if len(to) > 0 {
-		n.do(Spread{To: to, Message: m})
+		n.emit(Spread{To: to, Message: m})
 	}
 }
 
 func (n *Node) send(host string, m *messenger.Message) {
 	if r, ok := n.hosts.Lookup(host); ok && r.Peers != "" {
-		n.do(Send{To: host, Address: r.Peers, Message: m})
+		n.emit(Send{To: host, Address: r.Peers, Message: m})
 	}
 }
 
-// greet tells a host to which a connection was opened what it may lack. It may have been
-// forgotten here, as this host there, if they were cut off from each other for long: without
-// this both sides of a cut of 60 s stayed apart until one looked for unknown hosts, up to 30 s.
+// greet sends a host what it may lack when a connection to it opens. After a long partition, either
+// host may have forgotten the other.
 func (n *Node) greet(now time.Time, host, address string) {
-	t := n.paths()
-	n.lastFull[host] = now
-	n.do(Send{To: host, Address: address, Message: n.greeting(now)})
+	t := n.topology()
+	n.lastGreeted[host] = now
+	n.emit(Send{To: host, Address: address, Message: n.greeting(now)})
 	if slices.Contains(t.active, host) && tracker.Place(t.active, n.opts.Self.Host, "teller/"+host) == 0 {
-		n.send(host, n.kept())
+		n.send(host, n.cacheState())
 	}
 }
 
-// kept is what this host knows of kept context.
-func (n *Node) kept() *messenger.Message {
+// cacheState returns what this host knows of KV caches.
+func (n *Node) cacheState() *messenger.Message {
 	return &messenger.Message{Report: &placer.Report{Placed: n.opts.Kept()}, Stores: n.opts.Stores()}
 }
 
-func (n *Node) peerMessage(now time.Time, ev PeerMessage) {
+func (n *Node) handlePeerMessage(now time.Time, ev PeerMessage) {
 	m := ev.Message
 	n.introducer.Met()
 	n.hostsDirty = n.hosts.Heard(now, ev.From) || n.hostsDirty
-	if n.delays.late(now, ev.From) {
-		m = m.WithNews(undated(m.News))
+	if n.arrivals.mayBeStale(now, ev.From) {
+		m = m.WithNews(withUnknownAge(m.News))
 	}
 	if m.Digest != 0 && !m.Full && !slices.Contains(n.hosts.Neighbours(), ev.From) {
-		// Whoever counts this host among its neighbours must hear from it, or takes
-		// it for silent.
+		// A host that counts this one among its neighbours must hear from it, or suspects it.
 		n.send(ev.From, &messenger.Message{Echo: true})
 	}
 	n.mergeHosts(now, ev.From, m.Hosts)
-	n.tellSuspect(ev.From)
+	n.notifySuspect(ev.From)
 	n.answerWants(ev.From, m.Wants)
-	n.handOver(now, ev.From, m.Lacks)
-	n.hear(now, m.News)
+	n.sendMissing(now, ev.From, m.Lacks)
+	n.receivePages(now, m.News)
 	if len(m.Namings) > 0 {
 		n.viewDirty = n.state.Recall(now, m.Namings) || n.viewDirty
 	}
-	n.compare(now, ev.From, m.Offsets)
+	n.compareOffsets(now, ev.From, m.Offsets)
 	if m.Renewal != nil {
 		n.renewer.Heard(now, m.Renewal)
 		for _, done := range m.Renewal.Renewed {
@@ -140,58 +136,57 @@
 		}
 	}
 	for _, s := range m.Stores {
-		n.do(TakeStore{From: ev.From, Report: s})
+		n.emit(ApplyStoreReport{From: ev.From, Report: s})
 	}
 	if m.Report != nil {
-		n.takeReport(now, ev.From, m)
+		n.receiveReport(now, ev.From, m)
 	}
 	n.relay(ev.From, m)
 	n.answerBuckets(now, ev.From, m.Buckets)
-	n.hearEnds(now, ev.From, m)
+	n.receiveQuarantine(now, ev.From, m)
 	if m.Digest != 0 {
-		n.differ(now, ev.From, m.Digest)
+		n.compareDigest(now, ev.From, m.Digest)
 	}
 }
 
-// differ compares another host's view of all hosts with this one's.
-func (n *Node) differ(now time.Time, host string, digest uint64) {
+// compareDigest compares another host's view of the fleet with this one's.
+func (n *Node) compareDigest(now time.Time, host string, digest uint64) {
 	if digest == n.hosts.Digest() {
-		delete(n.differs, host)
+		delete(n.differsSince, host)
 		return
 	}
-	since, before := n.differs[host]
+	since, before := n.differsSince[host]
 	if !before {
 		since = now
-		n.differs[host] = now
+		n.differsSince[host] = now
 	}
-	if now.Sub(n.lastFull[host]) <= greetInterval {
+	if now.Sub(n.lastGreeted[host]) <= minGreetInterval {
 		return
 	}
-	if n.paths().small {
+	if n.topology().small {
 		if r, ok := n.hosts.Lookup(host); ok {
 			n.greet(now, host, r.Peers)
 		}
 		return
 	}
-	if now.Sub(since) > differTime {
-		n.lastFull[host] = now
+	if now.Sub(since) > digestSettleTime {
+		n.lastGreeted[host] = now
 		n.send(host, &messenger.Message{Buckets: n.hosts.Buckets()})
 	}
 }
 
-// answerBuckets sends another host the records of the parts in which it differs.
-func (n *Node) answerBuckets(now time.Time, host string, theirs []uint64) {
-	if len(theirs) == 0 {
+// answerBuckets sends another host the records of the buckets that differ.
+func (n *Node) answerBuckets(now time.Time, host string, buckets []uint64) {
+	if len(buckets) == 0 {
 		return
 	}
-	if records := n.hosts.Differing(theirs); len(records) > 0 {
+	if records := n.hosts.Differing(buckets); len(records) > 0 {
 		n.send(host, &messenger.Message{Hosts: records})
 	}
 }
 
-// tellSuspect tells a host that speaks although it is suspected what is said of
-// it, so that it can refute that.
-func (n *Node) tellSuspect(host string) {
+// notifySuspect sends a suspected host its own record, so that it can refute it.
+func (n *Node) notifySuspect(host string) {
 	r, ok := n.hosts.Lookup(host)
 	if ok && (r.State == tracker.HostSuspect || r.State == tracker.HostGone) {
 		n.send(host, &messenger.Message{Hosts: []tracker.HostRecord{r}})
@@ -204,23 +199,23 @@
 		news = append(news, n.hosts.Merge(now, r)...)
 	}
 	if len(news) > 0 {
-		n.noteHosts(news)
-		n.spreadHosts(from, news)
+		n.recordHostChanges(news)
+		n.sendHostsToNeighbours(from, news)
 	}
 }
 
-func (n *Node) noteHosts(news []tracker.HostRecord) {
+func (n *Node) recordHostChanges(news []tracker.HostRecord) {
 	n.hostsDirty = true
 	for _, r := range news {
-		n.do(Note{What: NoteHostChanged, Host: r.Host, Key: string(r.State)})
+		n.emit(LogEvent{Kind: LogHostChanged, Host: r.Host, Key: string(r.State)})
 	}
 }
 
-// leave tells all hosts that this one is ending.
-func (n *Node) leave() {
+// markLeaving marks this host as leaving in its record.
+func (n *Node) markLeaving() {
 	self, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving })
 	if changed {
-		n.noteHosts([]tracker.HostRecord{self})
-		n.spreadHosts("", []tracker.HostRecord{self})
+		n.recordHostChanges([]tracker.HostRecord{self})
+		n.sendHostsToNeighbours("", []tracker.HostRecord{self})
 	}
 }
--- a/conductor/hosts_test.go
+++ b/conductor/hosts_test.go
@@ -11,8 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestGoneHostsAreForgotten: a host that has ended for good is remembered for a while, and
-// then by none.
+// TestGoneHostsAreForgotten: a host that has ended is forgotten by all others after a while.
 func TestGoneHostsAreForgotten(t *testing.T) {
 	for _, hosts := range []int{3, 8, 30} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -13,28 +13,28 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Stores of kept context.
+// Stores is the client of the KV cache stores.
 type Stores interface {
-	// Kept asks a store what has changed since an earlier answer; lost tells that
-	// some of it is not known any more.
-	Kept(ctx context.Context, address string, since int64, wait time.Duration) (news placer.StoreNews, next int64, lost bool, err error)
-	// KeptAll asks a store for all that it holds.
+	// Kept returns a store's changes since an earlier answer; lost reports that some of them are no
+	// longer available.
+	Kept(ctx context.Context, address string, since int64, wait time.Duration) (
+		news placer.StoreNews, next int64, lost bool, err error)
+	// KeptAll returns all contents of a store.
 	KeptAll(ctx context.Context, address string) (news placer.StoreNews, next int64, err error)
-	// Free tells a store to give up parts.
+	// Free evicts parts from a store.
 	Free(ctx context.Context, f placer.Freed) error
 }
 
-// Times of questions to stores.
 const (
-	keptWait    = 900 * time.Millisecond // keptWait is how long a store may wait for news; it allows a second.
-	keptTimeout = 500 * time.Millisecond // keptTimeout bounds a question beyond that.
-	keptPage    = 100                    // keptPage is the number of news after which more are likely to wait: a host that starts reads them all at once.
-	keptGather  = 150 * time.Millisecond // keptGather lets news come together.
+	storeWait       = 900 * time.Millisecond // storeWait bounds a store's wait for changes; at most a second.
+	storeTimeout    = 500 * time.Millisecond // storeTimeout bounds a call beyond storeWait.
+	storePage       = 100                    // storePage is how many changes make the next read immediate.
+	storeBatchDelay = 150 * time.Millisecond // storeBatchDelay lets changes accumulate.
 )
 
-// watchStores keeps one question open at each store of a view for which this
-// host is the first in rank; it tells the others what it hears. Stores hold a
-// dozen questions at once, so not every host can ask.
+// watchStores watches each store of a view for which this host is first in rank; watchStore shares
+// the changes with the other hosts. Stores accept few concurrent requests, so only one host watches
+// each.
 func (h *Host) watchStores(view *follower.View) {
 	if view.Table == nil {
 		return
@@ -47,26 +47,26 @@
 		}
 		address := s.Store.Address
 		wanted[address] = true
-		if h.watched[address] != nil {
+		if h.storeWatches[address] != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(h.ctx)
-		h.watched[address] = cancel
-		h.goDo(func() { h.watchStore(ctx, address) })
+		h.storeWatches[address] = cancel
+		h.spawn(func() { h.watchStore(ctx, address) })
 	}
-	for address, cancel := range h.watched {
+	for address, cancel := range h.storeWatches {
 		if !wanted[address] {
 			cancel()
-			delete(h.watched, address)
+			delete(h.storeWatches, address)
 		}
 	}
 }
 
 func (h *Host) watchStore(ctx context.Context, address string) {
 	var since, epoch int64
-	up, again := false, h.opts.Timing.Again
+	up, delay := false, h.opts.Timing.RetryDelay
 	for ctx.Err() == nil {
-		news, next, err := h.askStore(ctx, address, since, epoch)
+		news, next, err := h.readStore(ctx, address, since, epoch)
 		if ctx.Err() != nil {
 			return
 		}
@@ -76,27 +76,26 @@
 		}
 		if err != nil {
 			h.placer.StoreLost(address)
-			h.post(StoreHeard{Report: placer.StoreReport{Address: address, Lost: true}})
-			pause(ctx, again)
-			again = min(2*again, longestAgain)
+			h.post(StoreReported{Report: placer.StoreReport{Address: address, Lost: true}})
+			pause(ctx, delay)
+			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
-		again = h.opts.Timing.Again
+		delay = h.opts.Timing.RetryDelay
 		since, epoch = next, news.Epoch
 		h.placer.StoreHeard(h.opts.Timer.Now(), address, news)
-		h.post(StoreHeard{Report: placer.StoreReport{Address: address, News: news}})
-		if len(news.Changes) < keptPage {
-			pause(ctx, keptGather)
+		h.post(StoreReported{Report: placer.StoreReport{Address: address, News: news}})
+		if len(news.Changes) < storePage {
+			pause(ctx, storeBatchDelay)
 		}
 	}
 }
 
-// askStore asks for news, and for all if the store has started anew or news were
-// lost.
-func (h *Host) askStore(ctx context.Context, address string, since, epoch int64) (placer.StoreNews, int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, keptWait+keptTimeout)
+// readStore returns a store's changes, or all its contents if it has restarted or changes were lost.
+func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreNews, int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, storeWait+storeTimeout)
 	defer cancel()
-	news, next, lost, err := h.opts.Stores.Kept(ctx, address, since, keptWait)
+	news, next, lost, err := h.opts.Stores.Kept(ctx, address, since, storeWait)
 	if err != nil {
 		return news, next, err
 	}
@@ -106,21 +105,20 @@
 	return h.opts.Stores.KeptAll(ctx, address)
 }
 
-// free tells stores to give up what was made with replaced weights, when nobody
-// can be fetching it any more.
-func (h *Host) free(now time.Time) {
+// freeUnused evicts KV caches of replaced weights that no host can still be fetching.
+func (h *Host) freeUnused(now time.Time) {
 	view, after := h.view.Load(), h.placer.FreeAfter()
 	unused := h.placer.Unused(func(text string) bool { return inUse(view, now, text, after) })
 	for _, f := range unused {
-		ctx, cancel := context.WithTimeout(h.ctx, keptTimeout)
+		ctx, cancel := context.WithTimeout(h.ctx, storeTimeout)
 		err := h.opts.Stores.Free(ctx, f)
 		cancel()
 		h.log.Info().Str("Store", f.Address).Int("Parts", len(f.Parts)).AnErr("Failure", err).Msg(logger.KeptContextFreed)
 	}
 }
 
-// inUse tells that what stores hold under a salt may still be fetched: its weights are in
-// force, or were replaced less than some time before, by what any host remembers.
+// inUse reports whether KV caches under a salt may still be fetched: their weights are in force, or
+// were replaced less than after ago.
 func inUse(view *follower.View, now time.Time, text string, after time.Duration) bool {
 	salt, ok := placer.ParseSalt(text)
 	if !ok {
@@ -130,19 +128,18 @@
 	return salt.Weights >= named.Version || now.Sub(named.Replaced(salt.Weights)) < after
 }
 
-// freeInterval is the interval at which the first host in rank looks for what
-// can be freed.
-const freeInterval = 500 * time.Millisecond
+// evictInterval is the time between two evictions of unused KV caches.
+const evictInterval = 500 * time.Millisecond
 
-// keepStores frees what stores hold for nobody, while this host is first in rank.
-func (h *Host) keepStores() {
-	var notes notes
+// evictUnused evicts unused KV caches and saves state while this host is first in rank.
+func (h *Host) evictUnused() {
+	var saved savedState
 	for h.ctx.Err() == nil {
-		pause(h.ctx, freeInterval)
-		if !h.keeper.Load() {
+		pause(h.ctx, evictInterval)
+		if !h.evictsStores.Load() {
 			continue
 		}
-		notes.keep(h)
-		h.free(h.opts.Timer.Now())
+		saved.update(h)
+		h.freeUnused(h.opts.Timer.Now())
 	}
 }
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -11,46 +11,44 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// manyPause is how many times longer hosts wait between two reports when they are
-// many: a report goes to each host of the zone then, and long prompts are told at
-// once anyway.
-const manyPause = 4
+// largeFleetReportTicks is the number of report ticks per load report in a large fleet.
+const largeFleetReportTicks = 4
 
-// report tells other hosts what this one has under way.
+// report sends the other hosts this one's load.
 func (h *Host) report(now time.Time) {
 	h.placer.Watch(now)
-	if now.Sub(h.started) > acquaintance {
+	if now.Sub(h.started) > startupTime {
 		h.placer.SetSharers(h.senders.update(now, *h.hosts.Load(), *h.serving.Load()))
 	}
-	h.reports++
-	if !h.serving.Load().All && h.reports%manyPause != 0 {
+	h.reportTicks++
+	if !h.serving.Load().All && h.reportTicks%largeFleetReportTicks != 0 {
 		return
 	}
 	h.placer.Forget(now)
-	h.reporting.Lock()
-	defer h.reporting.Unlock()
-	h.post(WorkReported{Report: h.placer.Report(), Use: h.use.cores(now)})
+	h.reportMu.Lock()
+	defer h.reportMu.Unlock()
+	h.post(WorkReported{Report: h.placer.Report(), Use: h.cpu.cores(now)})
 }
 
-// ease asks to look whether upstreams can begin requests that wait here.
-func (h *Host) ease() {
+// signalCapacity signals that upstreams may have room for waiting requests.
+func (h *Host) signalCapacity() {
 	if h.exchanger.Waiting() == 0 {
 		return
 	}
 	select {
-	case h.eased <- struct{}{}:
+	case h.capacityFreed <- struct{}{}:
 	default:
 	}
 }
 
-// admit lets requests that wait go on when upstreams have room. Every tick it looks at
-// their times as well.
-func (h *Host) admit() {
+// admitWaiting resumes waiting requests when upstreams have room, and checks their deadlines at
+// each tick.
+func (h *Host) admitWaiting() {
 	tick := time.NewTicker(h.opts.Timing.Admit)
 	defer tick.Stop()
 	for {
 		select {
-		case <-h.eased:
+		case <-h.capacityFreed:
 		case <-tick.C:
 			if h.exchanger.Waiting() == 0 {
 				continue
@@ -62,65 +60,65 @@
 	}
 }
 
-// hurry asks for a report before its time.
-func (h *Host) hurry() {
+// requestReport requests a load report at once.
+func (h *Host) requestReport() {
 	select {
-	case h.urgent <- struct{}{}:
+	case h.reportRequested <- struct{}{}:
 	default:
 	}
 }
 
-// hurryPause is the least time between two reports out of turn.
-const hurryPause = 4 * time.Millisecond
+// urgentReportInterval is the least time between two urgent reports.
+const urgentReportInterval = 4 * time.Millisecond
 
-// reportUrgently sends reports that were asked for.
-func (h *Host) reportUrgently() {
+// sendUrgentReports sends the requested reports.
+func (h *Host) sendUrgentReports() {
 	for {
 		select {
-		case <-h.urgent:
-			h.reportChanges()
-			pause(h.ctx, hurryPause)
+		case <-h.reportRequested:
+			h.reportWorkChanges()
+			pause(h.ctx, urgentReportInterval)
 		case <-h.ctx.Done():
 			return
 		}
 	}
 }
 
-// endsFound asks to tell the other hosts what the quarantine has new.
-func (h *Host) endsFound() {
+// signalQuarantineChange signals that the quarantine has news for the other hosts.
+func (h *Host) signalQuarantineChange() {
 	select {
-	case h.ends <- struct{}{}:
+	case h.quarantineChanged <- struct{}{}:
 	default:
 	}
 }
 
-// reportEnds has the control loop tell the other hosts under which requests upstreams have
-// ended. All that was under way at one upstream is told together.
-func (h *Host) reportEnds() {
+// reportQuarantine posts quarantine changes to the control loop. A short delay batches the requests
+// that were in flight at one upstream.
+func (h *Host) reportQuarantine() {
 	for {
 		select {
-		case <-h.ends:
-			pause(h.ctx, hurryPause)
-			h.post(EndsFound{})
+		case <-h.quarantineChanged:
+			pause(h.ctx, urgentReportInterval)
+			h.post(QuarantineChanged{})
 		case <-h.ctx.Done():
 			return
 		}
 	}
 }
 
-func (h *Host) reportChanges() {
-	h.reporting.Lock()
-	defer h.reporting.Unlock()
+func (h *Host) reportWorkChanges() {
+	h.reportMu.Lock()
+	defer h.reportMu.Unlock()
 	h.post(WorkReported{Report: h.placer.Changes(), Urgent: true})
 }
 
-// loop is the control goroutine.
+// loop runs the control plane.
 func (h *Host) loop() {
 	for {
 		select {
 		case ev := <-h.events:
 			for _, a := range h.node.Handle(h.opts.Timer.Now(), ev) {
-				h.carryOut(a)
+				h.execute(a)
 			}
 		case <-h.ctx.Done():
 			return
@@ -128,102 +126,101 @@
 	}
 }
 
-func (h *Host) carryOut(a Action) {
+func (h *Host) execute(a Action) {
 	switch a := a.(type) {
 	case Send:
 		h.messenger.Send(a.To, a.Address, a.Message)
 	case Spread:
 		h.messenger.SendAll(a.To, a.Message)
-	case TakeStore:
+	case ApplyStoreReport:
 		if !h.placer.StoreTold(h.opts.Timer.Now(), a.Report) {
-			h.goDo(func() { h.post(StoreGap{From: a.From}) })
+			h.spawn(func() { h.post(StoreGap{From: a.From}) })
 		}
 	case Read:
-		h.goDo(func() { h.read(a) })
+		h.spawn(func() { h.read(a) })
 	case Find:
-		h.goDo(func() { h.find(a.After) })
+		h.spawn(func() { h.find(a.After) })
 	case Seek:
-		h.goDo(h.seek)
+		h.spawn(h.seek)
 	case Announce:
-		h.goDo(h.announce)
+		h.spawn(h.announce)
 	case Retract:
-		h.goDo(func() { h.retract(a) })
+		h.spawn(func() { h.retract(a) })
 	case PublishView:
 		closeGone(h.opts.Pool, h.view.Swap(a.View), a.View)
 		h.placer.Update(a.View)
 		h.watchStores(a.View)
-	case Current:
+	case FeedCurrent:
 		h.placer.Trust(a.At)
-		h.counters.feed(follower.FeedOperator, a.At)
+		h.counters.feedCurrent(follower.FeedOperator, a.At)
 	case PublishHosts:
-		h.keeper.Store(tracker.Place(a.Serving.Hosts(), h.opts.Settings.Host, "keeper") == 0)
+		h.evictsStores.Store(tracker.Place(a.Serving.Hosts(), h.opts.Settings.Host, "keeper") == 0)
 		h.hosts.Store(&a.Hosts)
 		h.unheard.Store(&a.Unheard)
 		h.serving.Store(&a.Serving)
-		h.budget.SetHosts(h.sharers())
+		h.budget.SetHosts(h.shareCount())
 		h.watchStores(h.view.Load())
-		h.opts.Pool.Divide(h.sharers())
-		h.collect(a.Serving)
-	case TakeReport:
+		h.opts.Pool.Divide(h.shareCount())
+		h.tuneGC(a.Serving)
+	case ApplyReport:
 		h.placer.Heard(h.opts.Timer.Now(), a.From, a.Report)
 	case Renew:
-		h.goDo(func() { h.renew(a.Command) })
+		h.spawn(func() { h.renew(a.Command) })
 	case PublishPhases:
 		h.placer.Renewing(a.Engines)
 	case PublishCell:
 		h.placer.SetCell(a.Own, a.Cells, a.Direct)
-	case Note:
-		h.note(a)
+	case LogEvent:
+		h.logEvent(a)
 	}
 }
 
 func (h *Host) read(a Read) {
-	asked := h.opts.Timer.Now()
-	ev := FeedRead{Asked: asked, Wait: a.Wait}
+	start := h.opts.Timer.Now()
+	ev := FeedRead{Asked: start, Wait: a.Wait}
 	if a.Full {
 		ev.News, ev.Err = h.opts.Store.Newest(h.ctx, a.Feed)
 	} else {
 		ev.News, ev.Err = h.opts.Store.Read(h.ctx, a.Feed, a.From, a.Wait)
 	}
 	ev.News.Feed = a.Feed
-	h.counters.store("read", asked, h.opts.Timer.Now(), ev.Err)
+	h.counters.storeCall("read", start, h.opts.Timer.Now(), ev.Err)
 	h.post(ev)
 }
 
-// activePart is the part of what hosts share that is for those that serve callers, in a
-// large fleet. The rest is for hosts that stand by: they may be called in before all
-// others know.
-const activePart = 0.75
+// activeShare is the fraction of shared limits that active hosts divide in a large fleet. The rest
+// is for standby hosts, which may become active before all others know.
+const activeShare = 0.75
 
-// sharers returns the number of equal parts of which this host may take one, of the
-// connections of upstreams and of retries.
-func (h *Host) sharers() int {
+// shareCount returns into how many equal parts connections and retries are divided; this host may
+// use one.
+func (h *Host) shareCount() int {
 	serving, hosts := h.serving.Load(), max(len(*h.hosts.Load()), 1)
 	if serving.All {
 		return hosts
 	}
 	if serving.Active[h.opts.Settings.Host] {
-		return int(math.Ceil(float64(len(serving.Active)) / activePart))
+		return int(math.Ceil(float64(len(serving.Active)) / activeShare))
 	}
-	return int(math.Ceil(float64(hosts) / (1 - activePart)))
+	return int(math.Ceil(float64(hosts) / (1 - activeShare)))
 }
 
-func (h *Host) note(n Note) {
+func (h *Host) logEvent(e LogEvent) {
 	ev := h.log.Info()
-	if n.What == NoteRecord || n.What == NoteHostChanged {
+	if e.Kind == LogRecordApplied || e.Kind == LogHostChanged {
 		ev = h.log.Belief()
 	}
-	if n.Err != nil {
-		ev = h.log.Warn().Err(n.Err)
+	if e.Err != nil {
+		ev = h.log.Warn().Err(e.Err)
 	}
-	if n.Feed != "" {
-		ev = ev.Str("Feed", string(n.Feed)).Int64("Offset", n.Offset).Dur("Age", n.Age)
+	if e.Feed != "" {
+		ev = ev.Str("Feed", string(e.Feed)).Int64("Offset", e.Offset).Dur("Age", e.Age)
 	}
-	if n.Host != "" {
-		ev = ev.Str("Peer", n.Host)
+	if e.Host != "" {
+		ev = ev.Str("Peer", e.Host)
 	}
-	if n.Key != "" {
-		ev = ev.Str("Key", n.Key)
+	if e.Key != "" {
+		ev = ev.Str("Key", e.Key)
 	}
-	ev.Msg(string(n.What))
+	ev.Msg(string(e.Kind))
 }
--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -14,83 +14,82 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// meet takes the next step towards the other hosts.
-func (n *Node) meet(now time.Time) {
+// discover takes the next step of finding other hosts.
+func (n *Node) discover(now time.Time) {
 	if n.introducer.Over() {
 		return
 	}
 	switch n.introducer.Next(now) {
 	case introducer.CallFind:
-		n.do(Find{After: n.introducer.After()})
+		n.emit(Find{After: n.introducer.After()})
 	case introducer.CallAnnounce:
-		n.do(Announce{})
+		n.emit(Announce{})
 	case introducer.CallNone:
 		if n.introducer.Over() {
-			n.hostsDirty = true // a host that is alone learns here that it is
+			n.hostsDirty = true // a host that is alone learns so here
 		}
 	}
 }
 
-// hostsFound takes in a page of announcements.
-func (n *Node) hostsFound(now time.Time, ev HostsFound) {
+// handleHostsFound applies a page of announcements.
+func (n *Node) handleHostsFound(now time.Time, ev HostsFound) {
 	n.introducer.Found(now, introducer.Page{Hosts: ev.Hosts, Next: ev.Next}, ev.Err)
 	if ev.Err != nil {
 		return
 	}
-	n.found = now
+	n.foundAt = now
 	n.mergeHosts(now, "", ev.Hosts)
 }
 
-// announcedAs is the name of a host's announcement. Names of larger hosts come first: they
-// serve callers, and so hear of the other hosts first.
-func announcedAs(r tracker.HostRecord) string {
-	const mostCores, unit = 1000, 1000
-	size := mostCores*unit - int(unit*min(r.Cores, mostCores))
+// announcementName returns the name of a host's announcement. Larger hosts sort first: they are
+// likely to be active and to know the fleet.
+func announcementName(r tracker.HostRecord) string {
+	const maxCores, unit = 1000, 1000
+	size := maxCores*unit - int(unit*min(r.Cores, maxCores))
 	return fmt.Sprintf("%07d/%s", size, r.Host)
 }
 
-// find reads the page of announcements that begins behind a name.
+// find reads the page of announcements that begins after a name.
 func (h *Host) find(after string) {
-	asked := h.opts.Timer.Now()
+	start := h.opts.Timer.Now()
 	page, err := h.opts.Store.Announced(h.ctx, after)
-	h.counters.store("announced", asked, h.opts.Timer.Now(), err)
+	h.counters.storeCall("announced", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.HostsUnread)
 	}
-	h.post(HostsFound{Hosts: h.records(page.Cards), Next: page.Next, Err: err})
+	h.post(HostsFound{Hosts: h.decodeRecords(page.Cards), Next: page.Next, Err: err})
 }
 
-// announce writes what other hosts need to find this one.
+// announce writes this host's announcement.
 func (h *Host) announce() {
 	card, err := codec.Marshal(h.node.opts.Self)
 	if err != nil {
 		panic("conductor: host record cannot be encoded: " + err.Error())
 	}
-	asked := h.opts.Timer.Now()
-	err = h.opts.Store.Announce(h.ctx, announcedAs(h.node.opts.Self), card)
-	h.counters.store("announce", asked, h.opts.Timer.Now(), err)
+	start := h.opts.Timer.Now()
+	err = h.opts.Store.Announce(h.ctx, announcementName(h.node.opts.Self), card)
+	h.counters.storeCall("announce", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.HostsUnread)
 	}
 	h.post(Announced{Err: err})
 }
 
-// seek reads all announcements once, for hosts that are known to none of those that this
-// one knows.
+// seek reads all announcements, to find hosts that this one's peers don't know.
 func (h *Host) seek() {
 	var ev HostsSought
 	for next := ""; ; {
-		asked := h.opts.Timer.Now()
+		start := h.opts.Timer.Now()
 		page, err := h.opts.Store.Announced(h.ctx, next)
-		h.counters.store("announced", asked, h.opts.Timer.Now(), err)
+		h.counters.storeCall("announced", start, h.opts.Timer.Now(), err)
 		if err != nil {
 			h.log.Warn().Err(err).Msg(logger.HostsUnread)
-			break // the next look reads them again
+			break // the next search reads them again
 		}
 		if next == "" {
 			ev.End = page.End
 		}
-		ev.Hosts = append(ev.Hosts, h.records(page.Cards)...)
+		ev.Hosts = append(ev.Hosts, h.decodeRecords(page.Cards)...)
 		if next = page.Next; next == "" {
 			ev.Whole = true
 			break
@@ -99,22 +98,22 @@
 	h.post(ev)
 }
 
-// retract drops announcements of hosts that are gone for good, unless others were made since
-// they were read.
+// retract removes the announcements of hosts that are gone, unless others were written since they
+// were read.
 func (h *Host) retract(a Retract) {
 	for i, r := range a.Hosts {
-		asked := h.opts.Timer.Now()
-		err := h.opts.Store.Retract(h.ctx, announcedAs(r), a.End+int64(i))
-		h.counters.store("retract", asked, h.opts.Timer.Now(), err)
+		start := h.opts.Timer.Now()
+		err := h.opts.Store.Retract(h.ctx, announcementName(r), a.End+int64(i))
+		h.counters.storeCall("retract", start, h.opts.Timer.Now(), err)
 		if err != nil {
-			return // after the next look
+			return // the next search retries
 		}
 		h.log.Info().Str("Peer", r.Host).Msg(logger.HostRetracted)
 	}
 }
 
-// records returns the readable ones of announcements.
-func (h *Host) records(cards map[string][]byte) []tracker.HostRecord {
+// decodeRecords returns the records of readable announcements.
+func (h *Host) decodeRecords(cards map[string][]byte) []tracker.HostRecord {
 	var out []tracker.HostRecord
 	for name, card := range cards {
 		var r tracker.HostRecord
--- a/conductor/meter.go
+++ b/conductor/meter.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// meter measures how many processor cores this process uses. The zero value is ready.
-// It is not safe for concurrent use.
+// meter measures the processor cores that this process uses. The zero value is ready to use. It is
+// not safe for concurrent use.
 type meter struct {
-	at    time.Time
-	spent time.Duration
-	last  float64
+	lastTime  time.Time
+	lastUsage time.Duration
+	lastCores float64
 }
 
-// meterPause is the least time between two measurements.
-const meterPause = 300 * time.Millisecond
+// meterInterval is the least time between two measurements.
+const meterInterval = 300 * time.Millisecond
 
-// cores returns the mean number of cores in use since the measurement before; 0 at first,
-// and the last figure where the system does not tell.
+// cores returns the mean number of cores in use since the last measurement, 0 at first. It returns
+// the last result if the system call fails.
 func (m *meter) cores(now time.Time) float64 {
-	passed := now.Sub(m.at)
-	if passed < meterPause {
-		return m.last
+	elapsed := now.Sub(m.lastTime)
+	if elapsed < meterInterval {
+		return m.lastCores
 	}
 	var use syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &use); err != nil {
-		return m.last
+		return m.lastCores
 	}
-	spent := time.Duration(use.Utime.Nano() + use.Stime.Nano())
-	if !m.at.IsZero() {
-		m.last = float64(spent-m.spent) / float64(passed)
+	usage := time.Duration(use.Utime.Nano() + use.Stime.Nano())
+	if !m.lastTime.IsZero() {
+		m.lastCores = float64(usage-m.lastUsage) / float64(elapsed)
 	}
-	m.at, m.spent = now, spent
-	return m.last
+	m.lastTime, m.lastUsage = now, usage
+	return m.lastCores
 }
--- a/conductor/namings_test.go
+++ b/conductor/namings_test.go
@@ -13,38 +13,38 @@
 	"amaranthgate.example/amaranthgate/placer"
 )
 
-// TestNotedAges: a naming is noted a few times as it grows older, and anew when another
-// version is named.
-func TestNotedAges(t *testing.T) {
-	var n namingNotes
+// TestSavedAges: a version is saved a few times as it grows older, and again when a newer version
+// is named.
+func TestSavedAges(t *testing.T) {
+	var n savedNamings
 	writes := 0
 	for age := time.Duration(0); age < time.Minute; age += 100 * time.Millisecond {
 		namings := []follower.Naming{{Model: "m", Version: 1, Age: age + time.Hour}, {Model: "m", Version: 2, Age: age}}
 		for model, due := range n.due(namings) {
 			assert.Equal(t, len(due), 2)
-			n.wrote(model, due)
+			n.markSaved(model, due)
 			writes++
 		}
 	}
-	assert.Equal(t, writes, len(notedAges))
+	assert.Equal(t, writes, len(saveAges))
 	assert.Equal(t, len(n.due([]follower.Naming{{Model: "m", Version: 3, Age: time.Second}})), 1)
 }
 
-// TestReplacedSinceBeforeTheStart: a host that has just started frees what was replaced
-// long before, if others or a note remember that, and nothing else.
-func TestReplacedSinceBeforeTheStart(t *testing.T) {
+// TestReplacedBeforeStart: a host that has just started evicts what was replaced long before, if
+// that is known from other hosts or saved state, and nothing else.
+func TestReplacedBeforeStart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const after = 12 * time.Second
 	state := follower.New()
 	state.Apply(now, follower.Change{Weights: &follower.Weights{Model: "m", Version: 3}}, 1)
 	salt := func(weights uint64) string { return placer.Salt{Model: "m", Weights: weights}.String() }
 	for _, weights := range []uint64{1, 2, 3} {
-		assert.Assert(t, inUse(state.View(), now, salt(weights), after), "nothing is remembered")
+		assert.Assert(t, inUse(state.View(), now, salt(weights), after), "the ages are unknown")
 	}
 	assert.Assert(t, state.Recall(now, []follower.Naming{
 		{Model: "m", Version: 2, Age: 14 * time.Second}, {Model: "m", Version: 3, Age: 9 * time.Second},
 	}))
-	assert.Assert(t, !state.Recall(now, []follower.Naming{{Model: "m", Version: 3, Age: 9 * time.Second}}), "it is known")
+	assert.Assert(t, !state.Recall(now, []follower.Naming{{Model: "m", Version: 3, Age: 9 * time.Second}}), "already known")
 	assert.Assert(t, !inUse(state.View(), now, salt(1), after))
 	assert.Assert(t, inUse(state.View(), now, salt(2), after))
 	assert.Assert(t, !inUse(state.View(), now.Add(4*time.Second), salt(2), after))
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -16,23 +16,24 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Decoder reads what a record says.
+// Decoder decodes the records of feeds.
 type Decoder interface {
 	Decode(feed follower.Feed, r follower.Record) (follower.Change, error)
 }
 
-// NodeOptions set up a Node.
+// NodeOptions configures a Node.
 type NodeOptions struct {
 	Self    tracker.HostRecord
 	Decoder Decoder
 	Timing  Timing
-	// FirstStart tells that all hosts start for the first time.
+	// FirstStart reports whether the whole fleet starts for the first time.
 	FirstStart bool
 	Renewer    renewer.Options
-	Busy       func(upstream string) int   // Busy is the work under way at an upstream.
-	Kept       func() []placer.Placement   // Kept is what engines are believed to keep, for hosts that start.
-	Stores     func() []placer.StoreReport // Stores is what is known of stores, for hosts that start.
-	// Quarantine remembers under which requests upstreams have ended; traffic uses it as well.
+	Busy       func(upstream string) int   // Busy returns the work in flight at an upstream.
+	Kept       func() []placer.Placement   // Kept returns what engines may cache, for hosts that start.
+	Stores     func() []placer.StoreReport // Stores returns what is known of KV cache stores.
+	// Quarantine tracks the requests under which upstreams have ended; it is shared with the
+	// request path.
 	Quarantine *quarantiner.Ledger
 }
 
@@ -44,43 +45,43 @@
 	feeds   map[follower.Feed]*feed
 	actions []Action
 
-	renewer    *renewer.Renewer
-	view       *follower.View           // view is the one published last.
-	phases     map[string]renewer.Phase // phases are those published last.
-	viewDirty  bool
-	hostsDirty bool
-	now        time.Time // now is the time of the event that is handled.
-	lastTick   time.Time
-	lastBeat   time.Time
-	lastSlow   time.Time            // lastSlow is when hosts that stand by were beaten last.
-	lastTold   time.Time            // lastTold is when the active hosts were last told of work.
-	lastStatus time.Time            // lastStatus is when all hosts were last told of orders.
-	lastPaged  time.Time            // lastPaged is when this host last told its zone something as its relay.
-	lastHosts  time.Time            // lastHosts is when the hosts were published last.
-	serves     bool                 // serves tells that this host was last among the active ones of a large fleet.
-	quiet      bool                 // quiet tells that this host's last report had no work.
-	found      time.Time            // found is when other hosts were found first.
-	first      time.Time            // first is the time of the first event.
-	lastFull   map[string]time.Time // lastFull is when a host was last told of hosts, or asked.
-	differs    map[string]time.Time // differs is since when a host sees other hosts than this one.
-	delays     delays
-	tree       *tree // tree is nil when it must be worked out anew.
-	zone       map[string]zoneReport
-	zones      map[string]zoneReport // zones has the newest sums of the other zones' relays.
-	others     *placer.Report        // others gathers what other zones told once, for this zone.
-	sums       *placer.Report        // sums gathers what this zone's hosts told once, for the others.
-	lastSum    time.Time
-	began      time.Time // began is when this host first reported work to others.
-	uses       map[string]hostUse
-	gauge      activator.Gauge
-	introducer *introducer.Introducer
-	endsDiffer endsDiffer
-	seeks      seeks
-	lastLacked time.Time // lastLacked is when a greeting last asked for the hosts that this one lacks.
-	lastStores time.Time // lastStores is when another host was asked for what it knows of stores.
+	renewer              *renewer.Renewer
+	view                 *follower.View           // view is the last published view.
+	phases               map[string]renewer.Phase // phases are the last published phases.
+	viewDirty            bool
+	hostsDirty           bool
+	now                  time.Time // now is the time of the current event.
+	lastTick             time.Time
+	lastHeartbeat        time.Time
+	lastStandbyHeartbeat time.Time            // lastStandbyHeartbeat is when all neighbours got a heartbeat.
+	lastReport           time.Time            // lastReport is when all active hosts got a load report.
+	lastStatus           time.Time            // lastStatus is when the renewer's status was last broadcast.
+	lastRelayed          time.Time            // lastRelayed is when this host last sent its zone a message.
+	lastHosts            time.Time            // lastHosts is when the hosts were last published.
+	wasServing           bool                 // wasServing is whether this host was active in a large fleet.
+	wasIdle              bool                 // wasIdle is whether this host's last report was empty.
+	foundAt              time.Time            // foundAt is when announcements were last read.
+	firstEvent           time.Time            // firstEvent is the time of the first event.
+	lastGreeted          map[string]time.Time // lastGreeted is when a host last got records or digests.
+	differsSince         map[string]time.Time // differsSince is since when each host's digest has differed.
+	arrivals             peerArrivals
+	topo                 *topology // topo is nil when it must be computed again.
+	zoneReports          map[string]zoneReport
+	remoteReports        map[string]zoneReport // remoteReports are the newest sums of the other zones' relays.
+	remoteDeltas         *placer.Report        // remoteDeltas collects other zones' one-time changes.
+	zoneDeltas           *placer.Report        // zoneDeltas collects this zone's one-time changes.
+	lastSum              time.Time
+	firstReport          time.Time // firstReport is when this host first reported its load.
+	uses                 map[string]hostUse
+	gauge                activator.Gauge
+	introducer           *introducer.Introducer
+	quarantineDiffs      quarantineDiffs
+	search               peerSearch
+	lastBucketsSent      time.Time // lastBucketsSent is when a greeting last included this host's buckets.
+	lastStores           time.Time // lastStores is when another host was last asked for store reports.
 }
 
-// NewNode returns a node that knows nothing but itself.
+// NewNode returns a node that knows only itself.
 func NewNode(opts NodeOptions) *Node {
 	if opts.Quarantine == nil {
 		opts.Quarantine = quarantiner.New(quarantiner.Options{})
@@ -98,83 +99,83 @@
 			follower.FeedOperator:  newFeed(),
 			follower.FeedUpstreams: newFeed(),
 		},
-		renewer:  renewer.New(opts.Renewer),
-		view:     &follower.View{},
-		lastFull: make(map[string]time.Time),
-		differs:  make(map[string]time.Time),
-		delays:   make(delays),
-		zone:     make(map[string]zoneReport),
-		zones:    make(map[string]zoneReport),
-		others:   &placer.Report{},
-		sums:     &placer.Report{},
-		uses:     make(map[string]hostUse),
+		renewer:       renewer.New(opts.Renewer),
+		view:          &follower.View{},
+		lastGreeted:   make(map[string]time.Time),
+		differsSince:  make(map[string]time.Time),
+		arrivals:      make(peerArrivals),
+		zoneReports:   make(map[string]zoneReport),
+		remoteReports: make(map[string]zoneReport),
+		remoteDeltas:  &placer.Report{},
+		zoneDeltas:    &placer.Report{},
+		uses:          make(map[string]hostUse),
 		introducer: introducer.New(introducer.Options{
-			Host: opts.Self.Host, Peers: opts.Self.Peers, FirstStart: opts.FirstStart, Again: opts.Timing.Again,
+			Host: opts.Self.Host, Peers: opts.Self.Peers, FirstStart: opts.FirstStart, Again: opts.Timing.RetryDelay,
 			Seed: tracker.Rank(opts.Self.Host, "introducer") + opts.Self.Incarnation,
 		}),
 
-		endsDiffer: make(endsDiffer),
+		quarantineDiffs: make(quarantineDiffs),
 	}
 }
 
-// Serves tells that callers are sent to this host.
-func (n *Node) Serves() bool { return n.paths().ours }
+// Serves reports whether callers are sent to this host.
+func (n *Node) Serves() bool { return n.topology().selfActive }
 
-// Handle takes an event in and returns what is to be done.
+// Handle applies an event and returns the actions to execute.
 func (n *Node) Handle(now time.Time, ev Event) []Action {
 	n.actions = nil
 	n.now = now
-	if n.first.IsZero() {
-		n.first = now
+	if n.firstEvent.IsZero() {
+		n.firstEvent = now
 	}
 	switch ev := ev.(type) {
 	case Tick:
 		n.tick(now)
 	case FeedRead:
-		n.feedRead(now, ev)
+		n.handleFeedRead(now, ev)
 	case PeerMessage:
-		n.peerMessage(now, ev)
+		n.handlePeerMessage(now, ev)
 	case PeerUp:
 		n.hostsDirty = n.hosts.Heard(now, ev.Host) || n.hostsDirty
 		n.greet(now, ev.Host, ev.Address)
 	case HostsFound:
-		n.hostsFound(now, ev)
+		n.handleHostsFound(now, ev)
 	case Announced:
 		n.introducer.Announced(now, ev.Err)
 	case HostsSought:
-		n.sought(now, ev)
+		n.handleHostsSought(now, ev)
 	case WorkReported:
 		n.reportWork(now, ev)
-	case StoreHeard:
-		n.tellActive(&messenger.Message{Stores: []placer.StoreReport{ev.Report}})
+	case StoreReported:
+		n.sendToActive(&messenger.Message{Stores: []placer.StoreReport{ev.Report}})
 	case RenewalEnd:
-		n.renewalEnd(now, ev)
+		n.handleRenewalEnd(now, ev)
 	case StoreGap:
-		n.askStores(now, ev.From)
-	case NamingsRecalled:
+		n.requestStores(now, ev.From)
+	case NamingsRestored:
 		n.viewDirty = n.state.Recall(now, ev.Namings) || n.viewDirty
 		n.broadcast(&messenger.Message{Namings: ev.Namings})
-	case EndsFound:
-		n.tellEnds()
-	case EndsRecalled:
+	case QuarantineChanged:
+		n.broadcastQuarantine()
+	case QuarantineRestored:
 		n.opts.Quarantine.Hear(now, ev.Words)
 		n.broadcast(&messenger.Message{Ended: ev.Words})
-	case DrainBegun:
-		n.leave()
+	case DrainStarted:
+		n.markLeaving()
 	}
 	n.publish()
 	return n.actions
 }
 
-func (n *Node) do(a Action) { n.actions = append(n.actions, a) }
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
 func (n *Node) tick(now time.Time) {
-	n.wake(now)
-	n.beat(now)
-	n.meet(now)
-	n.seek(now)
+	n.detectStall(now)
+	n.heartbeat(now)
+	n.discover(now)
+	n.searchHosts(now)
 	if n.state.Expire(now) {
-		n.do(Note{What: NoteLapsesCounted, Feed: follower.FeedUpstreams})
+		n.emit(LogEvent{Kind: LogLapsedRemoved, Feed: follower.FeedUpstreams})
 		n.viewDirty = true
 	}
 	for name, f := range n.feeds {
@@ -183,9 +184,9 @@
 	n.renew(now)
 }
 
-// wake notices that the process has stood still: the silence of others in that
-// time says nothing of them.
-func (n *Node) wake(now time.Time) {
+// detectStall detects that the process was stalled. The silence of other hosts in that time does
+// not count.
+func (n *Node) detectStall(now time.Time) {
 	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.opts.Timing.Suspect/2 {
 		for _, r := range n.hosts.All() {
 			n.hosts.Heard(now, r.Host)
@@ -194,53 +195,50 @@
 	n.lastTick = now
 }
 
-// publish gives out what has changed.
+// publish emits the changes of the view and of the hosts.
 func (n *Node) publish() {
 	if n.viewDirty {
 		n.viewDirty = false
 		n.view = n.state.View()
-		n.do(PublishView{View: n.view})
+		n.emit(PublishView{View: n.view})
 	}
-	n.sayReady()
-	if n.hostsDirty && n.hostsDue() {
+	n.markReady()
+	if n.hostsDirty && n.hostsPublishDue() {
 		n.hostsDirty = false
 		n.lastHosts = n.now
-		n.tree = nil
-		t := n.paths()
-		n.calledIn(t)
-		n.do(PublishHosts{Hosts: n.hosts.All(), Unheard: n.hosts.Unheard(), Serving: t.serving})
+		n.topo = nil
+		t := n.topology()
+		n.requestCacheIfActivated(t)
+		n.emit(PublishHosts{Hosts: n.hosts.All(), Unheard: n.hosts.Unheard(), Serving: t.serving})
 	}
 }
 
-// sayReady tells all hosts once that this one can serve callers, when they are to be sent
-// here. Told by each of 299 hosts after each start, it was a fifth of what the middle one
-// moves.
-func (n *Node) sayReady() {
-	if !n.view.Ready() || n.hosts.Self().Ready || !n.paths().ours {
+// markReady marks this host as ready in its record, once it can serve callers and is active.
+// Standby hosts don't, to save messages.
+func (n *Node) markReady() {
+	if !n.view.Ready() || n.hosts.Self().Ready || !n.topology().selfActive {
 		return
 	}
 	self, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.Ready = true })
 	if changed {
-		n.noteHosts([]tracker.HostRecord{self})
-		n.spreadHosts("", []tracker.HostRecord{self})
+		n.recordHostChanges([]tracker.HostRecord{self})
+		n.sendHostsToNeighbours("", []tracker.HostRecord{self})
 	}
 }
 
-// hostsPause is the least time between two lists of hosts in a large fleet. 295 hosts
-// that start tell each other of some hundreds of changes within a second, and each list
-// takes 0.2 ms.
-const hostsPause = 40 * time.Millisecond
+// hostsPublishInterval is the least time between two published host lists in a large fleet.
+const hostsPublishInterval = 40 * time.Millisecond
 
-func (n *Node) hostsDue() bool {
-	return n.tree == nil || n.tree.small || n.now.Sub(n.lastHosts) >= hostsPause
+func (n *Node) hostsPublishDue() bool {
+	return n.topo == nil || n.topo.small || n.now.Sub(n.lastHosts) >= hostsPublishInterval
 }
 
-// calledIn asks another host for what it knows of kept context when this one, which
-// stood by, is to serve.
-func (n *Node) calledIn(t *tree) {
-	was := n.serves
-	n.serves = t.ours && !t.small
-	if was || !n.serves {
+// requestCacheIfActivated requests the state of KV caches from another active host when this one
+// changes from standby to active.
+func (n *Node) requestCacheIfActivated(t *topology) {
+	wasServing := n.wasServing
+	n.wasServing = t.selfActive && !t.small
+	if wasServing || !n.wasServing {
 		return
 	}
 	for _, h := range t.active {
--- a/conductor/node_test.go
+++ b/conductor/node_test.go
@@ -18,9 +18,8 @@
 
 func init() { seeder.Fix() }
 
-// TestChangeReachesAll: the host that reads for all is cut off silently at the
-// moment of a change. All others must know it within 2 s, and so must those
-// that the store refuses.
+// TestChangeReachesAll: the host that reads the feeds is cut off at the moment of a change. All
+// other hosts must know the change within 2 s, including one that the store refuses.
 func TestChangeReachesAll(t *testing.T) {
 	for _, a := range []access{accessOK, accessRefuse, accessSilent} {
 		t.Run(string(a), func(t *testing.T) {
@@ -41,10 +40,10 @@
 	}
 }
 
-// TestSubstituteGoesOn: the store turns away the host that reads for all. Whoever takes
-// its place keeps reading, so that further changes are known within half a second, and
-// the number of questions stays that of one reader or two.
-func TestSubstituteGoesOn(t *testing.T) {
+// TestReplacementReaderContinues: the store refuses the host that reads the feeds. Its replacement
+// keeps reading, so that changes reach all hosts within 500 ms, with about as many store calls as
+// one or two readers make.
+func TestReplacementReaderContinues(t *testing.T) {
 	for _, hosts := range []int{5, 40} {
 		for reader := range 5 {
 			c := newCluster(hosts)
@@ -53,7 +52,7 @@
 			c.run(3 * time.Second)
 			c.set(c.nodes[reader], accessRefuse)
 			for _, s := range c.nodes {
-				if hosts > 5 && tracker.Place(s.node.paths().active, s.name, "reader/"+string(follower.FeedOperator)) == 0 {
+				if hosts > 5 && tracker.Place(s.node.topology().active, s.name, "reader/"+string(follower.FeedOperator)) == 0 {
 					c.set(s, accessRefuse)
 				}
 			}
@@ -65,17 +64,17 @@
 				c.write(follower.FeedOperator, "config", fmt.Sprint("version ", version))
 				c.run(500 * time.Millisecond)
 				for _, s := range c.nodes {
-					assert.Equal(t, s.version, version, "%s of %d, with %s turned away", s.name, hosts, c.nodes[reader].name)
+					assert.Equal(t, s.version, version, "%s of %d, with %s refused", s.name, hosts, c.nodes[reader].name)
 				}
 				c.run(200 * time.Millisecond)
 			}
-			assert.Assert(t, c.calls-before < 60, "%d questions in 4 s", c.calls-before)
+			assert.Assert(t, c.calls-before < 60, "%d store calls in 4 s", c.calls-before)
 		}
 	}
 }
 
-// TestStoreReturns: the store swallows all questions for a while. Three seconds
-// after it is back, a change reaches all hosts as ever.
+// TestStoreReturns: the store answers no read for a while. Three seconds after it recovers, a
+// change reaches all hosts in the usual time.
 func TestStoreReturns(t *testing.T) {
 	c := newCluster(4)
 	c.write(follower.FeedOperator, "config", "version 1")
@@ -95,8 +94,8 @@
 	}
 }
 
-// TestRefusedHostLearnsFromOthers: a host that starts while the store turns it
-// away gets what it lacks from the others.
+// TestRefusedHostLearnsFromOthers: a host that starts while the store refuses it gets the feeds
+// from the others.
 func TestRefusedHostLearnsFromOthers(t *testing.T) {
 	c := newCluster(3)
 	c.write(follower.FeedOperator, "config", "version 3")
@@ -109,9 +108,8 @@
 	assert.DeepEqual(t, c.nodes[1].node.view.Taking("s"), []string{"a"})
 }
 
-// TestRemovalAfterRefusal: after the store turned hosts away for a while, one of
-// them reads for all again and the others only hear of it. They must not go on
-// taking removed upstreams for ones whose entries lapsed.
+// TestRemovalAfterRefusal: after a store outage only one host reads, and the others hear from it.
+// They must treat removed upstreams as removed, not as lapsed.
 func TestRemovalAfterRefusal(t *testing.T) {
 	for first := range 3 {
 		c := newCluster(3)
@@ -122,7 +120,7 @@
 			c.set(s, accessRefuse)
 		}
 		c.run(5 * time.Second)
-		c.set(c.nodes[first], accessOK) // the others have no need to ask the store from here on
+		c.set(c.nodes[first], accessOK) // the others have no need to read the store from here on
 		c.run(3 * time.Second)
 		for _, s := range c.nodes {
 			c.set(s, accessOK)
@@ -136,9 +134,8 @@
 	}
 }
 
-// TestManyHosts: 40 hosts in three availability zones, which reach each other
-// through relays. Nobody is taken for silent, and a change reaches all in 2 s also
-// when all relays have just died.
+// TestManyHosts: in a large fleet with relays no host is suspected, and a change reaches all hosts
+// within 2 s even if all relays have just ended.
 func TestManyHosts(t *testing.T) {
 	c := newCluster(40)
 	c.write(follower.FeedOperator, "config", "version 1")
@@ -152,7 +149,7 @@
 	before := c.calls
 	c.run(10 * time.Second)
 	assert.Assert(t, c.calls-before < 80, "%d calls to the store in 10 s", c.calls-before)
-	relays := append([]string{c.nodes[0].node.paths().relay}, c.nodes[0].node.paths().relays...)
+	relays := append([]string{c.nodes[0].node.topology().relay}, c.nodes[0].node.topology().relays...)
 	for _, name := range relays {
 		c.act("kill", c.byName[name])
 	}
@@ -165,8 +162,8 @@
 	}
 }
 
-// TestForgottenHistory: the store drops old records; the newest of each key
-// stays, and nothing that is in force may vanish.
+// TestForgottenHistory: the store drops old records but keeps the newest of each key. Nothing that
+// is in force may be lost.
 func TestForgottenHistory(t *testing.T) {
 	c := newCluster(3)
 	c.write(follower.FeedOperator, "config", "version 1")
@@ -176,7 +173,7 @@
 	c.write(follower.FeedUpstreams, "a", "")
 	c.write(follower.FeedUpstreams, "c", "ready")
 	for f, log := range c.logs {
-		c.first[f] = int64(len(log))
+		c.oldest[f] = int64(len(log))
 	}
 	c.run(2 * time.Second)
 	for _, s := range c.nodes {
@@ -185,14 +182,13 @@
 	}
 }
 
-// TestUnreadableRecord: a record that cannot be read is left out and changes
-// nothing.
+// TestUnreadableRecord: a record that cannot be read is skipped.
 func TestUnreadableRecord(t *testing.T) {
 	c := newCluster(2)
 	c.write(follower.FeedOperator, "config", "version 4")
 	c.write(follower.FeedOperator, "config", "rubbish")
 	c.run(2 * time.Second)
-	assert.Equal(t, c.nodes[0].version, uint64(0)) // the listing has only the newest, which says nothing
+	assert.Equal(t, c.nodes[0].version, uint64(0)) // the listing has only the newest, unreadable record
 	c.write(follower.FeedOperator, "config", "version 5")
 	c.write(follower.FeedOperator, "config", "rubbish")
 	c.run(2 * time.Second)
@@ -200,9 +196,9 @@
 	assert.Equal(t, c.nodes[1].version, uint64(5))
 }
 
-// TestForeignEntries: entries of another writer, under names of their own or under that of
-// an upstream, name nobody; the others hold, and so does the upstream once it has written
-// again. They are no reason for a line each.
+// TestForeignEntries: unreadable entries under new names or under that of an upstream do not affect
+// other upstreams. An upstream whose entry was overwritten returns once it writes again. Log lines
+// are limited.
 func TestForeignEntries(t *testing.T) {
 	for _, hosts := range []int{1, 4, 20} {
 		c := newCluster(hosts)
@@ -230,9 +226,8 @@
 
 var clusterActions = []string{"write", "write", "write", "silent", "refuse", "ok", "ok", "kill", "start", "pause", "resume", "forget", "upstream"}
 
-// TestRandomFaults: whatever happens, versions never go back on a host, and two
-// seconds after a change every host that has been in touch with the store for
-// three seconds before it, and stays so, knows it.
+// TestRandomFaults: versions never decrease on a host, and two seconds after a change it is known
+// to every host that could reach the store for three seconds before it and since.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.IntRange(1, 5).Draw(t, "hosts"))
@@ -246,11 +241,11 @@
 			if do == "write" {
 				version++
 				c.write(follower.FeedOperator, "config", fmt.Sprint("version ", version))
-				c.checkSpread(version)
+				c.checkPropagation(version)
 			}
 			c.run(rapid.SampledFrom([]time.Duration{0, 200 * time.Millisecond, time.Second, 3 * time.Second}).Draw(t, "after"))
-			if len(c.faults) > 0 {
-				t.Fatalf("broken: %q", c.faults)
+			if len(c.violations) > 0 {
+				t.Fatalf("broken: %q", c.violations)
 			}
 		}
 	})
@@ -276,25 +271,25 @@
 		s.paused, s.changed = false, c.now
 	case "forget":
 		for f, log := range c.logs {
-			c.first[f] = int64(len(log))
+			c.oldest[f] = int64(len(log))
 		}
 	case "upstream":
 		c.write(follower.FeedUpstreams, "u", "ready")
 	}
 }
 
-// checkSpread lets two seconds pass after a change and looks who knows it.
-func (c *cluster) checkSpread(version uint64) {
-	var touch []*simNode
+// checkPropagation runs for two seconds after a change and checks which hosts know it.
+func (c *cluster) checkPropagation(version uint64) {
+	var inTouch []*simNode
 	for _, s := range c.nodes {
 		if !s.down && !s.paused && s.access == accessOK && c.now.Sub(s.changed) >= 3*time.Second {
-			touch = append(touch, s)
+			inTouch = append(inTouch, s)
 		}
 	}
 	c.run(2 * time.Second)
-	for _, s := range touch {
+	for _, s := range inTouch {
 		if s.version < version {
-			c.faults = append(c.faults, fmt.Sprintf("%s has version %d, not %d, after 2 s", s.name, s.version, version))
+			c.violations = append(c.violations, fmt.Sprintf("%s has version %d, not %d, after 2 s", s.name, s.version, version))
 		}
 	}
 }
--- a/conductor/notes.go
+++ b/conductor/notes.go
@@ -10,52 +10,52 @@
 	"amaranthgate.example/amaranthgate/logger"
 )
 
-// noteTimeout bounds a call to the store for a note.
-const noteTimeout = time.Second
-
-// notes is what one host, the first in rank, keeps in the platform's store for hosts that
-// start after a loss of all. The zero value is ready.
-type notes struct {
-	recalled bool
-	namings  namingNotes
-	bars     barNotes
+// saveTimeout bounds a call to the store to save or restore state.
+const saveTimeout = time.Second
+
+// savedState is the state kept in the platform's store for hosts that start after the whole fleet
+// was down. Only the host that is first in rank writes it. The zero value is ready to use.
+type savedState struct {
+	restored bool
+	namings  savedNamings
+	bars     savedBars
 }
 
-// keep recalls once what was noted before, and notes what is due.
-func (n *notes) keep(h *Host) {
-	if !n.recalled {
-		n.recalled = n.recall(h)
+// update restores the saved state once, and saves what is due.
+func (n *savedState) update(h *Host) {
+	if !n.restored {
+		n.restored = n.restore(h)
 	}
-	n.namings.keep(h)
-	n.bars.keep(h)
+	n.namings.update(h)
+	n.bars.update(h)
 }
 
-// recall reads what hosts of before have noted, and reports whether it could.
-func (n *notes) recall(h *Host) bool {
-	ctx, cancel := context.WithTimeout(h.ctx, noteTimeout)
+// restore reads the saved state and reports whether it succeeded.
+func (n *savedState) restore(h *Host) bool {
+	ctx, cancel := context.WithTimeout(h.ctx, saveTimeout)
 	defer cancel()
-	asked := h.opts.Timer.Now()
-	noted, err := h.opts.Store.Notes(ctx)
-	h.counters.store("notes", asked, h.opts.Timer.Now(), err)
+	start := h.opts.Timer.Now()
+	saved, err := h.opts.Store.Notes(ctx)
+	h.counters.storeCall("notes", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.NamingsUnread)
 		return false
 	}
-	if namings := h.namingsIn(noted); len(namings) > 0 {
-		h.post(NamingsRecalled{Namings: namings})
+	if namings := h.decodeNamings(saved); len(namings) > 0 {
+		h.post(NamingsRestored{Namings: namings})
 	}
-	if words := n.bars.recall(h, noted); len(words) > 0 {
-		h.post(EndsRecalled{Words: words})
+	if words := n.bars.restore(h, saved); len(words) > 0 {
+		h.post(QuarantineRestored{Words: words})
 	}
 	return true
 }
 
-// noteDown keeps a value under a key; an empty one drops the key.
-func (h *Host) noteDown(key string, value []byte) error {
-	ctx, cancel := context.WithTimeout(h.ctx, noteTimeout)
+// save saves a value under a key; an empty value removes the key.
+func (h *Host) save(key string, value []byte) error {
+	ctx, cancel := context.WithTimeout(h.ctx, saveTimeout)
 	defer cancel()
-	asked := h.opts.Timer.Now()
+	start := h.opts.Timer.Now()
 	err := h.opts.Store.Note(ctx, key, value)
-	h.counters.store("note", asked, h.opts.Timer.Now(), err)
+	h.counters.storeCall("note", start, h.opts.Timer.Now(), err)
 	return err
 }
--- a/conductor/operators.go
+++ b/conductor/operators.go
@@ -17,24 +17,24 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Dump is what a host believes, on request. It holds no keys of workspaces.
+// Dump is the state of a host. It contains no workspace tokens.
 type Dump struct {
 	Settings  loader.Settings
 	Ready     bool
 	Leaving   bool
 	Open      int64
-	Version   uint64 // Version is that of the configuration in force; 0 if none is.
+	Version   uint64 // Version is that of the configuration in force; 0 if there is none.
 	Named     map[string]follower.Named
-	Evacuated map[string]bool // Evacuated are availability zones whose upstreams get nothing new.
+	Evacuated map[string]bool // Evacuated are availability zones whose upstreams get no new requests.
 	Hosts     []tracker.HostRecord
 	Upstreams []follower.Upstream
 	Placement placer.Dump
-	Barred    []quarantiner.Word // Barred are requests that are sent to no more upstreams.
-	Repeated  []quarantiner.Word // Repeated are requests under which more than one upstream has ended, the barred ones among them.
-	Suspects  int                // Suspects are requests under which upstreams have ended, the barred ones among them.
+	Barred    []quarantiner.Word // Barred are requests that are sent to no upstream any more.
+	Repeated  []quarantiner.Word // Repeated are requests under which several upstreams have ended.
+	Suspects  int                // Suspects counts requests under which upstreams have ended.
 }
 
-// Dump returns what the host believes now.
+// Dump returns the current state of the host.
 func (h *Host) Dump() Dump {
 	view := h.view.Load()
 	d := Dump{
@@ -59,7 +59,7 @@
 	return d
 }
 
-// operators serves the metrics and the state dump.
+// operators serves the operators' endpoints: metrics, state dump and quarantine.
 func (h *Host) operators() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -70,13 +70,13 @@
 		w.Header().Set("Content-Type", "application/json")
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		_ = e.Encode(h.Dump()) // an operator who has gone asks again
+		_ = e.Encode(h.Dump()) // the client can retry
 	})
 	mux.HandleFunc("POST /quarantine/lift", h.lift)
 	return mux
 }
 
-// lift lets a request be sent to upstreams again, after they were mended for it.
+// lift removes a request from the quarantine.
 func (h *Host) lift(w http.ResponseWriter, r *http.Request) {
 	operator, token, ok := r.BasicAuth()
 	if !ok || !slices.Contains(h.opts.Settings.OperatorDigests, configurer.TokenDigest(token)) {
--- a/conductor/orders.go
+++ b/conductor/orders.go
@@ -15,11 +15,11 @@
 // leaseName is the lease under which orders are given.
 const leaseName = "renewal"
 
-// orderTimeout bounds an order or a question to an engine. It lies well under
-// the turn between two holders, so that no order is on its way for longer.
+// orderTimeout bounds an order or a query to an engine. It is less than the turn between two lease
+// holders, so that no order outlives its holder's turn.
 const orderTimeout = 600 * time.Millisecond
 
-// renew carries out a command of the renewer and posts its end.
+// renew executes a command of the renewer and posts its result.
 func (h *Host) renew(c renewer.Command) {
 	ev := RenewalEnd{Command: c}
 	switch c := c.(type) {
@@ -43,9 +43,9 @@
 }
 
 func (h *Host) readLease() (renewer.Lease, error) {
-	asked := h.opts.Timer.Now()
+	start := h.opts.Timer.Now()
 	b, end, err := h.opts.Store.Lease(h.ctx, leaseName)
-	h.counters.store("lease", asked, h.opts.Timer.Now(), err)
+	h.counters.storeCall("lease", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.LeaseUnread)
 		return renewer.Lease{}, err
@@ -62,9 +62,10 @@
 	if err != nil {
 		return false, err
 	}
-	asked := h.opts.Timer.Now()
+	start := h.opts.Timer.Now()
 	conflict, err := h.opts.Store.WriteLease(h.ctx, leaseName, c.At, b)
-	h.counters.store("lease-write", asked, h.opts.Timer.Now(), err)
-	h.log.Info().Int64("At", c.At).Uint64("Nonce", c.Record.Nonce).Bool("Conflict", conflict).AnErr("Failure", err).Msg(logger.LeaseWritten)
+	h.counters.storeCall("lease-write", start, h.opts.Timer.Now(), err)
+	h.log.Info().Int64("At", c.At).Uint64("Nonce", c.Record.Nonce).Bool("Conflict", conflict).
+		AnErr("Failure", err).Msg(logger.LeaseWritten)
 	return conflict, err
 }
--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -10,7 +10,6 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// newPlacer returns the placement of this host's requests.
 func (h *Host) newPlacer() *placer.Placer {
 	s := h.opts.Settings
 	return placer.New(placer.Options{
@@ -21,12 +20,12 @@
 		Seed:             uint64(h.opts.Timer.Now().UnixNano()),
 		WeightsWithin:    s.Platform.WeightsWithin.Std(),
 		Cold:             placer.ColdLimit{Overage: s.Platform.ColdOverage, Slack: s.Platform.ColdSlack},
-		Urgent:           h.hurry,
-		Eased:            h.ease,
+		Urgent:           h.requestReport,
+		Eased:            h.signalCapacity,
 	})
 }
 
-// self returns what this host says of itself when it starts.
+// self returns this host's own record at its start.
 func (h *Host) self() tracker.HostRecord {
 	s := h.opts.Settings
 	return tracker.HostRecord{
@@ -41,7 +40,6 @@
 	}
 }
 
-// newNode returns the control plane.
 func (h *Host) newNode(self tracker.HostRecord) *Node {
 	s := h.opts.Settings
 	return NewNode(NodeOptions{
@@ -56,9 +54,9 @@
 		Quarantine: h.quarantine,
 		Renewer: renewer.Options{
 			Host:   s.Host,
-			Term:   h.opts.Timing.Term,
+			Term:   h.opts.Timing.LeaseTerm,
 			Turn:   s.Platform.Lease.Std(),
-			Margin: h.opts.Timing.Margin,
+			Margin: h.opts.Timing.LeaseMargin,
 			AtOnce: s.Platform.LoadsAtOnce,
 			Share:  s.Platform.LoadsShare,
 			Seed:   self.Incarnation,
@@ -66,7 +64,7 @@
 	})
 }
 
-// advertised returns where others reach an endpoint.
+// advertised returns the address at which others reach an endpoint.
 func advertised(e loader.Endpoint) string {
 	if e.Advertise != "" {
 		return e.Advertise
--- a/conductor/quarantine.go
+++ b/conductor/quarantine.go
@@ -9,66 +9,65 @@
 	"amaranthgate.example/amaranthgate/messenger"
 )
 
-// Hosts tell each other at once under which requests upstreams have ended, and hosts that
-// start when they are greeted. What is lost on the way shows in the digests of heartbeats:
-// those of hosts that know nothing are 0, so that nothing is spent where nothing happened.
+// Hosts broadcast at once under which requests upstreams have ended, and send all they know when
+// they greet a host. Digests in heartbeats reveal lost messages. The digest of an empty quarantine
+// is 0, so nothing is sent then.
 
 const (
-	// endsSettle is how long two hosts may differ before one tells the other all: what is
-	// told at once settles most differences by then.
-	endsSettle = 150 * time.Millisecond
-	// endsAgain is the least time between two such tellings to one host.
-	endsAgain = time.Second
+	// quarantineSettleTime is how long two hosts may differ before one sends the other everything.
+	// Broadcasts settle most differences earlier.
+	quarantineSettleTime = 150 * time.Millisecond
+	// quarantineSendInterval is the least time between two such messages to one host.
+	quarantineSendInterval = time.Second
 )
 
-// endsDiffer remembers hosts that know other ends than this one.
-type endsDiffer map[string]difference
+// quarantineDiffs tracks the hosts whose quarantine differs from this one's.
+type quarantineDiffs map[string]quarantineDiff
 
-type difference struct {
-	since time.Time
-	told  time.Time // told is when the host was last told all.
+type quarantineDiff struct {
+	since  time.Time
+	sentAt time.Time // sentAt is when the host was last sent everything.
 }
 
-// tellEnds tells all hosts what this one has just seen. In a large fleet those that serve
-// callers, and so may send such a request on, are told directly: a relay that stands still
-// would keep it from all others until their heartbeats show that they differ.
-func (n *Node) tellEnds() {
+// broadcastQuarantine sends all hosts this one's news. In a large fleet neighbours get it directly
+// as well, since a relay may be stalled.
+func (n *Node) broadcastQuarantine() {
 	words := n.opts.Quarantine.News(n.now)
 	if len(words) == 0 {
 		return
 	}
 	m := &messenger.Message{Ended: words}
-	if !n.paths().small {
-		n.spread("", m)
+	if !n.topology().small {
+		n.sendToNeighbours("", m)
 	}
 	n.broadcast(m)
 }
 
-// hearEnds takes in what another host knows, and tells it all if it knows something else.
-func (n *Node) hearEnds(now time.Time, from string, m *messenger.Message) {
+// receiveQuarantine applies what another host knows, and sends it everything if it differs.
+func (n *Node) receiveQuarantine(now time.Time, from string, m *messenger.Message) {
 	if len(m.Ended) > 0 {
-		// Bars go from neighbour to neighbour: they are few, and all must know them in time.
-		if barred := n.opts.Quarantine.Hear(now, m.Ended); len(barred) > 0 && !n.paths().small {
+		// Bars are gossiped to neighbours too: they are few and urgent.
+		if barred := n.opts.Quarantine.Hear(now, m.Ended); len(barred) > 0 && !n.topology().small {
 			n.sendAll(n.hosts.Neighbours(), from, &messenger.Message{Ended: barred})
 		}
-		n.tellEnds() // a host that has served such a request says so
+		n.broadcastQuarantine() // a host that has served such a request reports it
 	}
 	if m.Digest == 0 {
 		return
 	}
 	if m.EndedDigest == n.opts.Quarantine.Digest() {
-		delete(n.endsDiffer, from)
+		delete(n.quarantineDiffs, from)
 		return
 	}
-	d, ok := n.endsDiffer[from]
+	d, ok := n.quarantineDiffs[from]
 	if !ok {
 		d.since = now
 	}
-	if now.Sub(d.since) >= endsSettle && now.Sub(d.told) >= endsAgain {
-		d.told = now
+	if now.Sub(d.since) >= quarantineSettleTime && now.Sub(d.sentAt) >= quarantineSendInterval {
+		d.sentAt = now
 		if words := n.opts.Quarantine.Words(now); len(words) > 0 {
 			n.send(from, &messenger.Message{Ended: words})
 		}
 	}
-	n.endsDiffer[from] = d
+	n.quarantineDiffs[from] = d
 }
--- a/conductor/quarantine_test.go
+++ b/conductor/quarantine_test.go
@@ -14,8 +14,8 @@
 	"amaranthgate.example/amaranthgate/quarantiner"
 )
 
-// knowEnds returns how many hosts have barred a request.
-func (c *cluster) knowEnds(id quarantiner.Identity) int {
+// countBarred returns how many live hosts have barred a request.
+func (c *cluster) countBarred(id quarantiner.Identity) int {
 	n := 0
 	for _, s := range c.nodes {
 		if !s.down && s.node.opts.Quarantine.Standing(c.now, id).Standing == quarantiner.Barred {
@@ -25,51 +25,51 @@
 	return n
 }
 
-// TestEndsAreKnownEverywhere: ends that different hosts have seen are known at all of them
-// within a moment; at a host that starts, at one that stood still, and, by the digests of
-// heartbeats, where what was told was lost. Where nothing happened nothing is told.
+// TestEndsAreKnownEverywhere: ends of upstreams that different hosts have seen become known to all
+// hosts, also to one that starts, to one that was paused, and after lost messages. Hosts send
+// nothing when there is nothing new.
 func TestEndsAreKnownEverywhere(t *testing.T) {
 	for _, hosts := range []int{3, 8, 40} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
 			c := newCluster(hosts)
 			c.write("Operator", "config", "version 1")
-			told := 0
-			c.seen = func(m PeerMessage) {
+			messages := 0
+			c.onMessage = func(m PeerMessage) {
 				if len(m.Message.Ended) > 0 {
-					told++
+					messages++
 				}
 			}
 			c.run(4 * time.Second)
-			assert.Equal(t, told, 0)
+			assert.Equal(t, messages, 0)
 
 			id := quarantiner.Identify(quarantiner.Parts{Target: "/bad"})
-			frozen, late := c.nodes[hosts-1], c.nodes[hosts-2]
-			frozen.paused = true
+			paused, late := c.nodes[hosts-1], c.nodes[hosts-2]
+			paused.paused = true
 			for i := range quarantiner.Bar {
 				s := c.nodes[i%(hosts-2)]
 				s.node.opts.Quarantine.Ended(c.now, id, fmt.Sprint("start-", i), c.now)
-				c.carry(s, s.node.Handle(c.now, EndsFound{}))
+				c.execute(s, s.node.Handle(c.now, QuarantineChanged{}))
 				c.run(100 * time.Millisecond)
 			}
 			c.run(time.Second)
 			if hosts <= activator.AllServe {
-				assert.Equal(t, c.knowEnds(id), hosts-1)
+				assert.Equal(t, c.countBarred(id), hosts-1)
 			}
-			c.run(3 * time.Second) // in a large fleet the one that stands still may be a relay
-			assert.Equal(t, c.knowEnds(id), hosts-1)
-			frozen.paused = false
+			c.run(3 * time.Second) // in a large fleet the paused host may be a relay
+			assert.Equal(t, c.countBarred(id), hosts-1)
+			paused.paused = false
 			c.start(late)
 			c.run(3 * time.Second)
-			assert.Equal(t, c.knowEnds(id), hosts)
+			assert.Equal(t, c.countBarred(id), hosts)
 
 			lost := quarantiner.Identify(quarantiner.Parts{Target: "/lost"})
 			c.nodes[0].node.opts.Quarantine.Hear(c.now, []quarantiner.Word{{Identity: lost, Ends: []string{"a", "b", "c"}}})
 			c.run(3 * time.Second)
-			assert.Equal(t, c.knowEnds(lost), hosts)
+			assert.Equal(t, c.countBarred(lost), hosts)
 
-			told = 0
+			messages = 0
 			c.run(2 * time.Second)
-			assert.Equal(t, told, 0, "hosts that know the same tell each other nothing")
+			assert.Equal(t, messages, 0, "hosts with equal quarantines send nothing")
 		})
 	}
 }
--- a/conductor/readers.go
+++ b/conductor/readers.go
@@ -11,138 +11,131 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// turn is the age from which this host reads a feed itself. The first in rank
-// reads all the time, the others when it has been silent for longer than a
-// question may wait.
-func (n *Node) turn(name follower.Feed) time.Duration {
-	t := n.paths()
-	if !t.ours {
-		return n.opts.Timing.Fresh + lastReader*n.opts.Timing.Step + t.spread()
+// readAge returns the age of a feed from which this host reads it. The first host in rank reads all
+// the time, the others when no page was heard for longer than a long poll.
+func (n *Node) readAge(name follower.Feed) time.Duration {
+	t := n.topology()
+	if !t.selfActive {
+		return n.opts.Timing.TakeoverAge + maxReaderPlace*n.opts.Timing.TakeoverStep + t.standbyJitter()
 	}
-	place := max(0, tracker.Place(t.active, n.opts.Self.Host, readerOf(name)))
+	place := max(0, tracker.Place(t.active, n.opts.Self.Host, readerKey(name)))
 	if place == 0 {
 		return 0
 	}
-	return n.opts.Timing.Fresh + time.Duration(min(place, lastReader))*n.opts.Timing.Step
+	return n.opts.Timing.TakeoverAge + time.Duration(min(place, maxReaderPlace))*n.opts.Timing.TakeoverStep
 }
 
-// goesOn tells that this host, which read last, is to go on although others rank before
-// it: these have told nothing since. Else a feed whose first reader the store turns away
-// is read once in 1.2 s or more. A host that stands by and is cut off from the others
-// need not ask that often for itself alone.
-func (f *feed) goesOn(now time.Time) bool {
-	return f.alone && !f.heard && !f.failing && now.Sub(f.fresh) < aloneTime
+// continuesReading reports whether this host, which read last, keeps reading although others rank
+// before it, as long as none of them has sent a page. Otherwise the feed would be read at the
+// takeover interval only.
+func (f *feed) continuesReading(now time.Time) bool {
+	return f.soleReader && !f.heardPage && !f.failing && now.Sub(f.currentAt) < soleReaderTTL
 }
 
-// aloneTime is the age from which what this host has read says nothing of who reads.
-const aloneTime = 2 * time.Second
+// soleReaderTTL is the age from which on this host's last read no longer makes it the reader.
+const soleReaderTTL = 2 * time.Second
 
 const (
-	// lastReader is the rank from which all read a feed at the same age of what they
-	// know.
-	lastReader = 6
-	// standbySpread is the time over which hosts that stand by follow them, so that a
-	// fleet that is cut off does not ask all at once.
-	standbySpread = 400 * time.Millisecond
-	spreadPlaces  = 64
+	// maxReaderPlace is the place from which on all hosts read a feed at the same age.
+	maxReaderPlace = 6
+	// maxStandbyJitter spreads the reads of standby hosts, so that a partitioned fleet does not
+	// read all at once.
+	maxStandbyJitter = 400 * time.Millisecond
+	jitterSlots      = 64
 )
 
-// spread is a part of standbySpread that differs between hosts.
-func (t *tree) spread() time.Duration {
-	return standbySpread * time.Duration(t.standby%spreadPlaces) / spreadPlaces
+// standbyJitter returns this host's fraction of maxStandbyJitter.
+func (t *topology) standbyJitter() time.Duration {
+	return maxStandbyJitter * time.Duration(t.standbyPlace%jitterSlots) / jitterSlots
 }
 
-// othersTell tells that a host that has just started can expect to hear from others
-// what the store has. Of 500 hosts that started together 450 gave up waiting after 1.2 s and read
-// the listing of 5,000 upstreams, 26 calls and 1.7 MB each; so two read it at once, and the others
-// one after the other if nobody tells them.
-func (n *Node) othersTell(now time.Time) bool {
+// awaitsPeers reports whether a host that has just started should wait for its peers to send the
+// feeds. This keeps a starting fleet from reading the whole listing once per host.
+func (n *Node) awaitsPeers(now time.Time) bool {
 	if !n.introducer.Read() && !n.introducer.Over() {
-		return now.Sub(n.first) < unreadTime
+		return now.Sub(n.firstEvent) < announcementsTimeout
 	}
-	since, t := n.found, n.paths()
-	if since.IsZero() { // it was greeted before it read of others
-		since = n.first
+	since, t := n.foundAt, n.topology()
+	if since.IsZero() { // greeted before it read the announcements
+		since = n.firstEvent
 	}
-	if acquainted := n.first.Add(acquaintTime); n.opts.FirstStart && since.Before(acquainted) {
-		since = acquainted
+	if discovered := n.firstEvent.Add(discoveryTime); n.opts.FirstStart && since.Before(discovered) {
+		since = discovered
 	}
 	if t.small {
 		return now.Before(since)
 	}
-	return now.Sub(since) < n.firstTurn(t)
+	return now.Sub(since) < n.firstReadDelay(t)
 }
 
-// firstTurn is how long a host of a large fleet that starts waits to be told what the store has.
-func (n *Node) firstTurn(t *tree) time.Duration {
-	if !t.ours {
-		return standbyTold + time.Duration(t.standby)*standbyStep
+// firstReadDelay returns how long a starting host of a large fleet waits for its peers before it
+// reads the feeds.
+func (n *Node) firstReadDelay(t *topology) time.Duration {
+	if !t.selfActive {
+		return standbyReadDelay + time.Duration(t.standbyPlace)*standbyReadStep
 	}
 	place := max(0, tracker.Place(t.active, n.opts.Self.Host, "reader/start"))
-	if place < firstReaders {
+	if place < initialReaders {
 		return 0
 	}
-	return activeTold + time.Duration(place)*activeStep
+	return activeReadDelay + time.Duration(place)*activeReadStep
 }
 
 const (
-	firstReaders = 2 // firstReaders is the number of active hosts that read the feeds at once when they start.
-	// activeTold is how long the other active hosts wait to be told, as long as two hosts may take
-	// for a listing of 10,000 upstreams and a narrow link to carry it; activeStep is added for each
-	// place.
-	activeTold = 1500 * time.Millisecond
-	activeStep = 100 * time.Millisecond
-	// standbyTold and standbyStep are the same for hosts that stand by. All of them together make
-	// one reading in standbyStep, however many they are.
-	standbyTold = 4 * time.Second
-	standbyStep = 100 * time.Millisecond
+	initialReaders = 2 // initialReaders is the number of active hosts that don't wait.
+	// activeReadDelay is how long the other active hosts wait, enough for a whole listing over a
+	// slow link; activeReadStep is added for each place.
+	activeReadDelay = 1500 * time.Millisecond
+	activeReadStep  = 100 * time.Millisecond
+	// standbyReadDelay and standbyReadStep are the same for standby hosts. Together these make at
+	// most one read per standbyReadStep.
+	standbyReadDelay = 4 * time.Second
+	standbyReadStep  = 100 * time.Millisecond
 )
 
-// acquaintTime is how long hosts that all start for the first time wait to know how many
-// they are: until all have read of others, and these were heard of.
-const acquaintTime = introducer.FirstSpread + 700*time.Millisecond
+// discoveryTime is how long hosts that start for the first time wait to learn the size of the
+// fleet.
+const discoveryTime = introducer.FirstSpread + 700*time.Millisecond
 
-// unreadTime is how long a host that cannot read the announcements asks the store for nothing
-// else. It knows nobody, and takes itself for the first in rank of everything: 985 such hosts
-// would each read all that the store has.
-const unreadTime = 5 * time.Second
+// announcementsTimeout is how long a host that cannot read the announcements reads no feed. It
+// knows no peer and so ranks itself first for everything.
+const announcementsTimeout = 5 * time.Second
 
-// gatherTime is the least time between two questions, in which records come together.
-func (n *Node) gatherTime() time.Duration {
-	if n.paths().small {
-		return n.opts.Timing.Gather
+// readInterval returns the least time between two reads, so that records accumulate.
+func (n *Node) readInterval() time.Duration {
+	if n.topology().small {
+		return n.opts.Timing.ReadInterval
 	}
-	return n.opts.Timing.GatherMany
+	return n.opts.Timing.ReadIntervalLarge
 }
 
-// Hosts of a large fleet that need not be the first to notice that a store is back wait
-// longer before they ask it once more: whoever is answered first tells all. While a store
-// turned 295 hosts away for 8 s they asked it some 4,000 times.
+// In a large fleet most hosts retry a failed read later: the first one that succeeds sends the page
+// to all.
 const (
-	soonAgain    = 2  // soonAgain is the number of active hosts, by rank, that do not wait longer.
-	activeAgain  = 4  // activeAgain is how many times longer other active hosts wait.
-	standbyAgain = 16 // standbyAgain is how many times longer hosts that stand by wait.
+	fastRetryHosts     = 2  // fastRetryHosts is the number of active hosts that retry early.
+	activeRetryFactor  = 4  // activeRetryFactor multiplies the delay of other active hosts.
+	standbyRetryFactor = 16 // standbyRetryFactor multiplies the delay of standby hosts.
 )
 
-// longestAgain bounds the pause after questions that failed of a host that knows no other. Any
-// number of hosts may be in that state at once, after the store has been away at their start.
-const longestAgain = 2 * time.Second
+// maxRetryDelay bounds the backoff of a host that knows no other. Many hosts may be in that state
+// after a store outage.
+const maxRetryDelay = 2 * time.Second
 
-// againTime is the pause after a question that failed, the last of so many in a row.
-func (n *Node) againTime(name follower.Feed, failures int) time.Duration {
-	t, again := n.paths(), n.opts.Timing.Again
+// retryDelay returns the delay after the given number of consecutive failures.
+func (n *Node) retryDelay(name follower.Feed, failures int) time.Duration {
+	t, delay := n.topology(), n.opts.Timing.RetryDelay
 	switch {
 	case t.small && len(n.hosts.Live()) == 1:
-		return min(again<<min(failures-1, 3), longestAgain)
+		return min(delay<<min(failures-1, 3), maxRetryDelay)
 	case t.small:
-		return again
-	case !t.ours:
-		return standbyAgain*again + t.spread()
-	case tracker.Place(t.active, n.opts.Self.Host, readerOf(name)) >= soonAgain:
-		return activeAgain * again
+		return delay
+	case !t.selfActive:
+		return standbyRetryFactor*delay + t.standbyJitter()
+	case tracker.Place(t.active, n.opts.Self.Host, readerKey(name)) >= fastRetryHosts:
+		return activeRetryFactor * delay
 	}
-	return again
+	return delay
 }
 
-// readerOf is the key by which hosts are ranked as readers of a feed.
-func readerOf(name follower.Feed) string { return "reader/" + string(name) }
+// readerKey returns the key by which hosts are ranked as readers of a feed.
+func readerKey(name follower.Feed) string { return "reader/" + string(name) }
--- a/conductor/record.go
+++ b/conductor/record.go
@@ -15,10 +15,9 @@
 	"amaranthgate.example/amaranthgate/quarantiner"
 )
 
-// recordChoice writes the line of an upstream that was chosen for a request. It is
-// there before the request is sent, so that one whose host ends meanwhile is not
-// without a trace.
-func (h *Host) recordChoice(r *exchanger.Request, v *follower.View, c *placer.Choice) {
+// logChoice logs the upstream chosen for a request. It runs before the request is sent, so that the
+// line exists even if this host ends meanwhile.
+func (h *Host) logChoice(r *exchanger.Request, v *follower.View, c *placer.Choice) {
 	ev := h.log.Routine()
 	if !ev.Enabled() {
 		return
@@ -27,9 +26,9 @@
 		EmbedObject((*attempt)(c)).Msg(logger.UpstreamChosen)
 }
 
-// record writes the line of a request's end. One that failed or was late repeats
-// what each choice was based on, since the lines of choices may have been left out.
-func (h *Host) record(r *exchanger.Request, o exchanger.Outcome) {
+// logRequest logs the end of a request. For one that failed or was late it repeats the basis of
+// each choice, since lines of choices may have been left out.
+func (h *Host) logRequest(r *exchanger.Request, o exchanger.Outcome) {
 	failed := o.Late || o.Reason != exchanger.ReasonNone || o.Status >= 500
 	ev := h.log.Routine()
 	if failed {
@@ -48,27 +47,27 @@
 	if failed && len(o.Choices) > 0 {
 		ev.Array("Attempts", attempts(o.Choices))
 	}
-	ev.Bool("Late", o.Late).Int("Events", o.Events).Dur("Waited", o.Waited).Dur("Awaited", o.Awaited).Dur("First", o.First).Dur("Took", o.Took).Msg(logger.RequestEnded)
+	ev.Bool("Late", o.Late).Int("Events", o.Events).Dur("Waited", o.Waited).
+		Dur("Awaited", o.Awaited).Dur("First", o.First).Dur("Took", o.Took).Msg(logger.RequestEnded)
 }
 
-// recordEnded writes the line of an upstream that ended with a request under way. Lines of
-// several requests at one upstream tell who was there; of several upstreams with one
-// identity, what they have in common.
-func (h *Host) recordEnded(e exchanger.Ended) {
+// logUpstreamEnded logs an upstream that ended while serving a request.
+func (h *Host) logUpstreamEnded(e exchanger.Ended) {
 	h.counters.upstreamEnded()
-	h.log.Failure().Str("RequestID", e.RequestID).Stringer("Identity", e.Identity).Str("Upstream", e.Upstream.Start()).Msg(logger.UpstreamEnded)
+	h.log.Failure().Str("RequestID", e.RequestID).Stringer("Identity", e.Identity).
+		Str("Upstream", e.Upstream.Start()).Msg(logger.UpstreamEnded)
 }
 
-// recordBarred writes the line of a request that is sent to no more upstreams.
-func (h *Host) recordBarred(w quarantiner.Word) {
+// logBarred logs a request that is sent to no upstream any more.
+func (h *Host) logBarred(w quarantiner.Word) {
 	h.counters.barred()
 	h.log.Warn().Stringer("Identity", w.Identity).Strs("Upstreams", w.Ends).Msg(logger.RequestBarred)
 }
 
-// attempts writes choices into a log line.
+// attempts encodes choices in a log line.
 type attempts []placer.Choice
 
-// MarshalZerologArray writes each choice as an object.
+// MarshalZerologArray implements zerolog.LogArrayMarshaler.
 func (a attempts) MarshalZerologArray(arr *zerolog.Array) {
 	for i := range a {
 		arr.Object((*attempt)(&a[i]))
@@ -77,7 +76,7 @@
 
 type attempt placer.Choice
 
-// MarshalZerologObject writes the upstream and what its choice was based on.
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (c *attempt) MarshalZerologObject(e *zerolog.Event) {
 	b := c.Basis
 	e.Str("Upstream", c.Upstream.ID).Dur("Estimate", b.Estimate).Int("Requests", b.Work.Requests).
--- a/conductor/renewal_test.go
+++ b/conductor/renewal_test.go
@@ -13,15 +13,15 @@
 	"amaranthgate.example/amaranthgate/renewer"
 )
 
-// TestRenewedIsToldToAll: the word that an engine has new weights is said once. It
-// reaches all hosts, whichever kind of report comes next, in a small fleet and a large one.
-func TestRenewedIsToldToAll(t *testing.T) {
+// TestRenewedReachesAll: the renewer reports once that an engine has new weights. The report must
+// reach all hosts, whichever kind of load report follows, in small and large fleets.
+func TestRenewedReachesAll(t *testing.T) {
 	for _, hosts := range []int{5, 40} {
 		for _, urgent := range []bool{false, true} {
 			c := newCluster(hosts)
 			c.write(follower.FeedOperator, "config", "version 1")
 			c.run(3 * time.Second)
-			s := c.byName[c.nodes[0].node.paths().active[0]]
+			s := c.byName[c.nodes[0].node.topology().active[0]]
 			for _, o := range c.nodes {
 				o.inbox = nil
 			}
@@ -29,11 +29,11 @@
 			view := &follower.View{Upstreams: follower.ListOf(engine), Named: map[string]follower.Named{"m": {Version: 2}}}
 			s.node.renewer.Step(c.now, renewer.Input{View: view})
 			s.node.renewer.Told(c.now, renewer.Ask{Upstream: engine, Model: "m"}, false, 2, nil)
-			ev := c.workOf(s)
+			ev := c.workReport(s)
 			ev.Urgent = urgent
-			c.carry(s, s.node.Handle(c.now, ev))
+			c.execute(s, s.node.Handle(c.now, ev))
 			heard := 0
-			c.seen = func(ev PeerMessage) {
+			c.onMessage = func(ev PeerMessage) {
 				if r := ev.Message.Renewal; r != nil && len(r.Renewed) > 0 {
 					heard++
 				}
