--- a/conductor/reports.go
+++ b/conductor/reports.go
@@ -11,11 +11,10 @@
 	"amaranthgate.example/amaranthgate/placer"
 )
 
-// sumInterval is the least time between two sums of a zone's reports. A sum over
-// 89 engines has 2 KB; three a second are 7 KB/s to each host.
-const sumInterval = 300 * time.Millisecond
+// minSumInterval is the least time between two sums of a zone's reports.
+const minSumInterval = 300 * time.Millisecond
 
-// outsideCell marks the sum over all hosts but those of the receiver's cell.
+// outsideCell marks the sum over all hosts outside the receiver's cell.
 const outsideCell = "*"
 
 // zoneReport is the newest report of a host of this zone, or of another zone.
@@ -24,51 +23,51 @@
 	report placer.Report
 }
 
-// reportLife is how long a report counts in its zone's sum.
-const reportLife = 1500 * time.Millisecond
+// reportTTL is how long a report counts in its zone's sum.
+const reportTTL = 1500 * time.Millisecond
 
-// reportWork tells the others what this host has under way: all of them while they
-// are few, else those of its cell. The others hear sums from relays, which are told
-// in turn only.
+// reportWork sends this host's load to all hosts of a small fleet, else to those of its cell. The
+// others get sums from the relays, which receive regular reports only.
 func (n *Node) reportWork(now time.Time, ev WorkReported) {
-	t, r := n.paths(), ev.Report
+	t, r := n.topology(), ev.Report
 	if t.small {
-		n.spread("", &messenger.Message{Report: &r, Renewal: n.renewer.Status(now), Offsets: n.offsets()})
+		n.sendToNeighbours("", &messenger.Message{Report: &r, Renewal: n.renewer.Status(now),
+			Offsets: n.feedOffsets()})
 		return
 	}
-	n.tellRenewal(now)
-	if n.silent(r) {
+	n.broadcastRenewalStatus(now)
+	if n.skipIdleReport(r) {
 		return
 	}
 	direct := &messenger.Message{Report: &r, Use: ev.Use}
 	if !ev.Urgent {
-		direct.Offsets = n.offsets()
+		direct.Offsets = n.feedOffsets()
 	}
-	reached := n.reached(now, t.direct())
-	n.sendAll(reached, "", direct)
-	if t.mesh && len(reached) == len(t.active) {
-		n.lastTold = now
+	targets := n.rampedTargets(now, t.reportTargets())
+	n.sendAll(targets, "", direct)
+	if t.directReports && len(targets) == len(t.active) {
+		n.lastReport = now
 	}
-	if !t.mesh && !ev.Urgent && !slices.Contains(t.cell(), t.relay) {
+	if !t.directReports && !ev.Urgent && !slices.Contains(t.cell(), t.relay) {
 		n.sendAll([]string{t.relay}, "", direct)
 	}
 	if !r.Partial {
-		n.measure(now, t, ev.Use)
+		n.recordOwnUse(now, t, ev.Use)
 	}
-	if !t.mesh && t.relaying(n.opts.Self.Host) {
-		n.gather(now, n.opts.Self.Host, r)
-		n.sum(now)
+	if !t.directReports && t.isRelay(n.opts.Self.Host) {
+		n.addToSum(now, n.opts.Self.Host, r)
+		n.sendSums(now)
 	}
 }
 
-// statusPause is the least time between two words about orders to all hosts of a large
-// fleet. After 0.6 s without one they look for a successor of the host that gives them.
-const statusPause = 150 * time.Millisecond
+// minStatusInterval is the least time between two renewer statuses to all hosts of a large fleet.
+// It must stay well below the time after which they elect another lease holder.
+const minStatusInterval = 150 * time.Millisecond
 
-// tellRenewal tells all hosts what there is to say of orders. A status is taken from the
-// renewer only to be sent: it says some things once.
-func (n *Node) tellRenewal(now time.Time) {
-	if now.Sub(n.lastStatus) < statusPause {
+// broadcastRenewalStatus broadcasts the renewer's status. It takes a status only to send it, since
+// some of its contents are returned once.
+func (n *Node) broadcastRenewalStatus(now time.Time) {
+	if now.Sub(n.lastStatus) < minStatusInterval {
 		return
 	}
 	if s := n.renewer.Status(now); s != nil {
@@ -77,117 +76,117 @@
 	}
 }
 
-// silent tells that a report need not be sent: this host stands by, and has said that
-// it has no work.
-func (n *Node) silent(r placer.Report) bool {
-	quiet := len(r.Work) == 0 && len(r.Placed) == 0 && r.Waiting == 0
-	was := n.quiet
-	n.quiet = quiet
-	return quiet && was && !n.paths().ours
+// skipIdleReport reports whether a report can be skipped: this host is on standby and its last
+// report was empty too.
+func (n *Node) skipIdleReport(r placer.Report) bool {
+	idle := len(r.Work) == 0 && len(r.Placed) == 0 && r.Waiting == 0
+	wasIdle := n.wasIdle
+	n.wasIdle = idle
+	return idle && wasIdle && !n.topology().selfActive
 }
 
-// reachStep is the time in which a host that has just started takes up one more host
-// of its cell. With 23 connections opened at once after a loss of all hosts, half as
-// many requests were placed between 0.4 and 1 s after the start, when all callers
-// come back.
-const reachStep = 60 * time.Millisecond
+// rampStep is the time in which a host that has just started adds one more host to those it reports
+// to, so that it does not open all connections at once.
+const rampStep = 60 * time.Millisecond
 
-// reached returns the members that this host reports to: soon after its start only
-// the first few behind it in the list, which are others for each host.
-func (n *Node) reached(now time.Time, members []string) []string {
-	if n.began.IsZero() {
-		n.began = now
+// rampedTargets returns the members that this host reports to. Shortly after its start these are
+// the first few behind it in the list, so that hosts start with different ones.
+func (n *Node) rampedTargets(now time.Time, members []string) []string {
+	if n.firstReport.IsZero() {
+		n.firstReport = now
 	}
-	most := 1 + int(now.Sub(n.began)/reachStep)
-	if most >= len(members) {
+	limit := 1 + int(now.Sub(n.firstReport)/rampStep)
+	if limit >= len(members) {
 		return members
 	}
 	at := slices.Index(members, n.opts.Self.Host) + 1
-	return append(slices.Clone(members[at:]), members[:at]...)[:most]
+	return append(slices.Clone(members[at:]), members[:at]...)[:limit]
 }
 
-// gather takes the report of a host of this zone into the next sum.
-func (n *Node) gather(now time.Time, host string, r placer.Report) {
-	n.sums.Placed = append(n.sums.Placed, r.Placed...)
-	n.sums.Transfers = append(n.sums.Transfers, r.Transfers...)
+// addToSum adds the report of a host of this zone to the next sum.
+func (n *Node) addToSum(now time.Time, host string, r placer.Report) {
+	n.zoneDeltas.Placed = append(n.zoneDeltas.Placed, r.Placed...)
+	n.zoneDeltas.Transfers = append(n.zoneDeltas.Transfers, r.Transfers...)
 	if r.Partial {
-		return // the next whole report has the work
+		return // the next full report has the work
 	}
 	r.Placed, r.Transfers = nil, nil
-	n.zone[host] = zoneReport{at: now, report: r}
+	n.zoneReports[host] = zoneReport{at: now, report: r}
 }
 
-// sum sends the sum of the zone's reports to the other relays, and to each cell the
-// sum over all hosts that are not in it.
-func (n *Node) sum(now time.Time) {
-	if now.Sub(n.lastSum) < sumInterval {
+// sendSums sends the sum of the zone's reports to the other relays, and to each cell the sum over
+// all hosts outside it.
+func (n *Node) sendSums(now time.Time) {
+	if now.Sub(n.lastSum) < minSumInterval {
 		return
 	}
 	n.lastSum = now
-	own := n.sums
-	n.sums = &placer.Report{}
-	told := placer.Report{Placed: own.Placed, Transfers: own.Transfers} // what the zone's hosts told once
-	addRecent(own, now, n.zone, nil)
-	others := n.others
-	n.others = &placer.Report{}
-	addRecent(others, now, n.zones, nil)
-	t := n.paths()
-	n.sendAll(t.relays, "", &messenger.Message{Report: own, Zone: n.opts.Self.AvailabilityZone, Offsets: n.offsets()})
+	zoneSum := n.zoneDeltas
+	n.zoneDeltas = &placer.Report{}
+	deltas := placer.Report{Placed: zoneSum.Placed, Transfers: zoneSum.Transfers}
+	addRecent(zoneSum, now, n.zoneReports, nil)
+	remoteSum := n.remoteDeltas
+	n.remoteDeltas = &placer.Report{}
+	addRecent(remoteSum, now, n.remoteReports, nil)
+	t := n.topology()
+	n.sendAll(t.relays, "", &messenger.Message{Report: zoneSum, Zone: n.opts.Self.AvailabilityZone,
+		Offsets: n.feedOffsets()})
 	if len(t.cells) == 1 {
-		n.sendAll(t.members, "", &messenger.Message{Report: others, Zone: outsideCell, Offsets: n.offsets()})
+		n.sendAll(t.members, "", &messenger.Message{Report: remoteSum, Zone: outsideCell, Offsets: n.feedOffsets()})
 		return
 	}
 	for _, cell := range t.cells {
 		r := &placer.Report{
-			Placed:    slices.Concat(others.Placed, told.Placed),
-			Transfers: slices.Concat(others.Transfers, told.Transfers),
+			Placed:    slices.Concat(remoteSum.Placed, deltas.Placed),
+			Transfers: slices.Concat(remoteSum.Transfers, deltas.Transfers),
 		}
-		addRecent(r, now, n.zone, cell)
-		r.Add(*others)
-		n.sendAll(cell, "", &messenger.Message{Report: r, Zone: outsideCell, Offsets: n.offsets()})
+		addRecent(r, now, n.zoneReports, cell)
+		r.Add(*remoteSum)
+		n.sendAll(cell, "", &messenger.Message{Report: r, Zone: outsideCell, Offsets: n.feedOffsets()})
 	}
 }
 
-// addRecent adds up the work of reports but those of some hosts, and forgets old ones.
-func addRecent(total *placer.Report, now time.Time, reports map[string]zoneReport, but []string) {
+// addRecent adds up the work of recent reports, except those of the hosts in except, and deletes old
+// reports.
+func addRecent(total *placer.Report, now time.Time, reports map[string]zoneReport, except []string) {
 	total.Work, total.Stores = make(map[string]placer.Work), make(map[string]placer.Work)
 	for name, z := range reports {
 		switch {
-		case now.Sub(z.at) > reportLife:
+		case now.Sub(z.at) > reportTTL:
 			delete(reports, name)
-		case !slices.Contains(but, name):
+		case !slices.Contains(except, name):
 			total.Add(z.report)
 		}
 	}
 }
 
-// takeReport hands a report to placement: of one host, if it is of this cell or if
-// hosts are few, else of a zone or of all hosts outside of the cell.
-func (n *Node) takeReport(now time.Time, from string, m *messenger.Message) {
+// receiveReport passes a report to the placer: a host's own report, or the sum of a zone or of all
+// hosts outside the cell.
+func (n *Node) receiveReport(now time.Time, from string, m *messenger.Message) {
 	r := *m.Report
-	t := n.paths()
+	t := n.topology()
 	switch m.Zone {
 	case "":
 		if r.Work != nil && !r.Partial {
-			n.used(now, from, m.Use)
+			n.recordUse(now, from, m.Use)
 		}
-		if r.Work != nil && !t.small && !t.mesh && t.relaying(n.opts.Self.Host) {
-			n.gather(now, from, r)
+		if r.Work != nil && !t.small && !t.directReports && t.isRelay(n.opts.Self.Host) {
+			n.addToSum(now, from, r)
 		}
-		// A relay is told by the other cells of its zone as well; to placement each of
-		// these hosts counts for itself.
+		// A relay also gets reports from the other cells of its zone; the placer counts each of
+		// these hosts by itself.
 	case outsideCell:
-		if t.relaying(n.opts.Self.Host) {
-			return // two hosts believe to be the relay; this one hears hosts and zones itself
+		if t.isRelay(n.opts.Self.Host) {
+			return // two hosts act as relay; this one gets the reports itself
 		}
 		from = "zone/" + m.Zone
 	case n.opts.Self.AvailabilityZone:
 		return
 	default:
 		from = "zone/" + m.Zone
-		n.others.Placed = append(n.others.Placed, r.Placed...)
-		n.others.Transfers = append(n.others.Transfers, r.Transfers...)
-		n.zones[m.Zone] = zoneReport{at: now, report: placer.Report{Work: r.Work, Stores: r.Stores}}
+		n.remoteDeltas.Placed = append(n.remoteDeltas.Placed, r.Placed...)
+		n.remoteDeltas.Transfers = append(n.remoteDeltas.Transfers, r.Transfers...)
+		n.remoteReports[m.Zone] = zoneReport{at: now, report: placer.Report{Work: r.Work, Stores: r.Stores}}
 	}
-	n.do(TakeReport{From: from, Report: r})
+	n.emit(ApplyReport{From: from, Report: r})
 }
--- a/conductor/resources.go
+++ b/conductor/resources.go
@@ -20,21 +20,20 @@
 }
 
 const (
-	// activeGarbage and standbyGarbage are how much a heap may grow until it is collected, in parts
-	// of a hundred of what is in use. What hosts that stand by allocate is little: 985 of them took
-	// 27 GB in all with the usual figure.
-	activeGarbage  = 100
-	standbyGarbage = 50
+	// activeGCPercent and standbyGCPercent are garbage collector targets. Standby hosts allocate
+	// little, so a smaller heap costs them little time.
+	activeGCPercent  = 100
+	standbyGCPercent = 50
 )
 
-// collect has hosts that stand by keep less garbage.
-func (h *Host) collect(s activator.Selection) {
-	garbage := activeGarbage
+// tuneGC sets the garbage collector's target percentage.
+func (h *Host) tuneGC(s activator.Selection) {
+	percent := activeGCPercent
 	if !s.All && !s.Active[h.opts.Settings.Host] {
-		garbage = standbyGarbage
+		percent = standbyGCPercent
 	}
-	if garbage != h.garbage {
-		h.garbage = garbage
-		debug.SetGCPercent(garbage)
+	if percent != h.gcPercent {
+		h.gcPercent = percent
+		debug.SetGCPercent(percent)
 	}
 }
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -14,38 +14,31 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// A host that starts reads one page of announcements that holds another host, and is told
-// of the rest. Hosts that start together may so end up in groups that know nothing of each
-// other: the first reads only itself, and the others a page on which it is not. With three
-// hosts and pages of two that was 7 of 400 starts beside load. Each group then counts upstreams'
-// work, shares limits and remembers bad requests by itself, for as long as it runs.
-//
-// So the first in rank of each group reads the announcements again and greets those it does
-// not know. Each group has such a host, whatever it consists of. It also drops announcements of
-// hosts that are gone for good.
+// A starting host reads one page of announcements that holds another host, and learns of the rest
+// from it. Hosts that start together may so form groups that don't know each other. Therefore the
+// first host in rank of each group periodically reads all announcements and greets the hosts it
+// doesn't know. It also removes the announcements of hosts that are gone.
 
 const (
-	// seekFirst is how long after its start a host first looks for others that it does not
-	// know: as long as hosts that found one are given to tell it of the rest.
-	seekFirst = 1500 * time.Millisecond
-	// seekLongest bounds the time between two looks; it doubles from look to look. Groups
-	// arise when hosts start, so that a look later on seldom finds any.
-	seekLongest = 30 * time.Second
-	// mostSought bounds how many hosts one look greets: one that answers tells of all others.
-	mostSought = 16
-	// announcedLife is how long a host must have been unknown before its announcement is
-	// dropped. Without that, where machines are replaced by others of new names, hosts that
-	// start would read ever more pages, 1.5 s each, before they find one that is there. A host
-	// that was only cut off announces itself again, as the first in rank of its side.
-	announcedLife = 10 * time.Minute
+	// firstSearchDelay is how long after its start a host first searches: the time in which found
+	// hosts send it the rest of the fleet.
+	firstSearchDelay = 1500 * time.Millisecond
+	// maxSearchInterval bounds the interval between searches, which doubles each time.
+	maxSearchInterval = 30 * time.Second
+	// maxGreeted bounds the number of hosts greeted per search: each that answers sends all others.
+	maxGreeted = 16
+	// announcementTTL is how long a host must have been unknown before its announcement is removed,
+	// so that starting hosts don't read many pages of ended ones. Each side of a long partition
+	// announces its first host in rank again.
+	announcementTTL = 10 * time.Minute
 )
 
-// seeks remembers when this host looks for others that it does not know.
-type seeks struct {
-	pause time.Duration // pause is the time until the next look is due after this one.
-	due   time.Time
-	count int
-	// absent is since when announced hosts are unknown, and by which start.
+// peerSearch schedules the searches for unknown hosts.
+type peerSearch struct {
+	interval time.Duration // interval is the time from the next search to the one after it.
+	due      time.Time
+	count    int
+	// absent are the announced hosts that are unknown, by name.
 	absent map[string]absence
 }
 
@@ -54,56 +47,57 @@
 	since       time.Time
 }
 
-// seek asks for all announcements when that is due and up to this host.
-func (n *Node) seek(now time.Time) {
-	if n.seeks.due.IsZero() {
-		n.seeks = seeks{pause: seekFirst, due: now.Add(seekFirst), absent: make(map[string]absence)}
+// searchHosts reads all announcements if a search is due and this host is first in rank.
+func (n *Node) searchHosts(now time.Time) {
+	if n.search.due.IsZero() {
+		n.search = peerSearch{interval: firstSearchDelay, due: now.Add(firstSearchDelay),
+			absent: make(map[string]absence)}
 	}
-	if now.Before(n.seeks.due) || tracker.Place(n.paths().serving.Hosts(), n.opts.Self.Host, "seeker") != 0 {
+	if now.Before(n.search.due) || tracker.Place(n.topology().serving.Hosts(), n.opts.Self.Host, "seeker") != 0 {
 		return
 	}
-	n.seeks.pause = min(2*n.seeks.pause, seekLongest)
-	n.seeks.due = now.Add(n.seeks.pause)
-	n.seeks.count++
-	n.do(Seek{})
+	n.search.interval = min(2*n.search.interval, maxSearchInterval)
+	n.search.due = now.Add(n.search.interval)
+	n.search.count++
+	n.emit(Seek{})
 }
 
-// sought takes in all announcements.
-func (n *Node) sought(now time.Time, ev HostsSought) {
-	var strangers []tracker.HostRecord
+// handleHostsSought applies the result of a search.
+func (n *Node) handleHostsSought(now time.Time, ev HostsSought) {
+	var unknown []tracker.HostRecord
 	announced := false
 	for _, r := range ev.Hosts {
 		_, known := n.hosts.Lookup(r.Host)
 		announced = announced || r.Host == n.opts.Self.Host
 		if !known && r.Peers != "" {
-			strangers = append(strangers, r)
+			unknown = append(unknown, r)
 		}
 	}
 	if ev.Whole && !announced {
-		n.do(Announce{})
+		n.emit(Announce{})
 	}
 	if ev.Whole {
-		n.replenish(ev.Hosts)
+		n.replenishAnnouncements(ev.Hosts)
 	}
-	n.knock(now, strangers)
-	if gone := n.goneForGood(now, strangers); ev.Whole && len(gone) > 0 {
-		n.do(Retract{Hosts: gone, End: ev.End})
+	n.greetUnknown(now, unknown)
+	if expired := n.expiredAnnouncements(now, unknown); ev.Whole && len(expired) > 0 {
+		n.emit(Retract{Hosts: expired, End: ev.End})
 	}
 }
 
-// replenish has hosts announce themselves when few of those that are announced are left: hosts
-// that start read of these, and announce themselves only while they are few.
-func (n *Node) replenish(announced []tracker.HostRecord) {
-	named := make(map[string]bool, len(announced))
+// replenishAnnouncements asks hosts to announce themselves when few announced ones are live:
+// starting hosts depend on them, and running hosts do not announce themselves otherwise.
+func (n *Node) replenishAnnouncements(announced []tracker.HostRecord) {
+	listed := make(map[string]bool, len(announced))
 	for _, r := range announced {
-		named[r.Host] = true
+		listed[r.Host] = true
 	}
 	live := n.hosts.Live()
 	missing := min(introducer.Introducers, len(live))
 	var others []string
 	for _, h := range live {
-		if named[h] || h == n.opts.Self.Host {
-			missing-- // this host announces itself if it is not named
+		if listed[h] || h == n.opts.Self.Host {
+			missing-- // this host announces itself if it is missing
 		} else {
 			others = append(others, h)
 		}
@@ -113,55 +107,56 @@
 	}
 }
 
-// goneForGood returns the hosts among unknown ones that have been unknown for long.
-func (n *Node) goneForGood(now time.Time, strangers []tracker.HostRecord) []tracker.HostRecord {
-	absent := make(map[string]absence, len(strangers))
-	var gone []tracker.HostRecord
-	for _, r := range strangers {
-		a, ok := n.seeks.absent[r.Host]
+// expiredAnnouncements returns the hosts that have been unknown for announcementTTL.
+func (n *Node) expiredAnnouncements(now time.Time, unknown []tracker.HostRecord) []tracker.HostRecord {
+	absent := make(map[string]absence, len(unknown))
+	var expired []tracker.HostRecord
+	for _, r := range unknown {
+		a, ok := n.search.absent[r.Host]
 		if !ok || a.incarnation != r.Incarnation {
 			a = absence{incarnation: r.Incarnation, since: now}
 		}
 		absent[r.Host] = a
-		if now.Sub(a.since) >= announcedLife {
-			gone = append(gone, r)
+		if now.Sub(a.since) >= announcementTTL {
+			expired = append(expired, r)
 		}
 	}
-	n.seeks.absent = absent
-	return gone
+	n.search.absent = absent
+	return expired
 }
 
-// knock greets unknown hosts. Only those that answer are told on to others: the rest may be
-// gone for long.
-func (n *Node) knock(now time.Time, strangers []tracker.HostRecord) {
-	if len(strangers) == 0 {
+// greetUnknown greets unknown hosts. They are gossiped only once they answer, since they may be
+// gone.
+func (n *Node) greetUnknown(now time.Time, unknown []tracker.HostRecord) {
+	if len(unknown) == 0 {
 		return
 	}
-	look := n.opts.Self.Host + "/" + strconv.Itoa(n.seeks.count)
-	slices.SortFunc(strangers, func(a, b tracker.HostRecord) int {
-		return cmp.Compare(tracker.Rank(a.Host, look), tracker.Rank(b.Host, look))
+	salt := n.opts.Self.Host + "/" + strconv.Itoa(n.search.count)
+	slices.SortFunc(unknown, func(a, b tracker.HostRecord) int {
+		return cmp.Compare(tracker.Rank(a.Host, salt), tracker.Rank(b.Host, salt))
 	})
 	m := n.greeting(now)
-	for _, r := range strangers[:min(mostSought, len(strangers))] {
-		n.do(Send{To: r.Host, Address: r.Peers, Message: m})
+	for _, r := range unknown[:min(maxGreeted, len(unknown))] {
+		n.emit(Send{To: r.Host, Address: r.Peers, Message: m})
 	}
 }
 
-// lackPause is the least time between two greetings that ask for what this host lacks. Hosts that
-// start together greet four others at once, and each would tell all that it knows.
-const lackPause = 500 * time.Millisecond
+// bucketsInterval is the least time between two greetings that include buckets, which ask the
+// receiver for the records that differ.
+const bucketsInterval = 500 * time.Millisecond
 
-// greeting is what a host may lack that has not heard of this one, or not for long. It asks for what
-// this one lacks: a host that starts knows few others, and takes the fleet for a small one.
+// greeting returns what a host may lack that has not heard of this one for long. Its buckets ask in
+// turn for what this host lacks.
 func (n *Node) greeting(now time.Time) *messenger.Message {
-	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), Namings: n.state.Namings(now), Offsets: n.offsets(),
-		Ended: n.opts.Quarantine.Words(now), EndedDigest: n.opts.Quarantine.Digest(),
+	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), Namings: n.state.Namings(now),
+		Offsets: n.feedOffsets(),
+		Ended:   n.opts.Quarantine.Words(now), EndedDigest: n.opts.Quarantine.Digest(),
 		Hosts: []tracker.HostRecord{n.hosts.Self()}}
-	if now.Sub(n.lastLacked) >= lackPause {
-		n.lastLacked = now
+	if now.Sub(n.lastBucketsSent) >= bucketsInterval {
+		n.lastBucketsSent = now
 		m.Buckets = n.hosts.Buckets()
 	}
-	if n.paths().small {
+	if n.topology().small {
 		m.Hosts = n.hosts.All()
 	}
 	return m
--- a/conductor/seek_test.go
+++ b/conductor/seek_test.go
@@ -15,17 +15,16 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// inTouch is how long hosts may take to know each other: the time after which the users
-// take hosts for ones that know what the others know.
-const inTouch = 3 * time.Second
+// convergenceTime is the time within which hosts must know each other.
+const convergenceTime = 3 * time.Second
 
-// startApart starts hosts of which the last ones have read nothing but their own
-// announcement, and the others only each other's.
-func startApart(together, apart int) *cluster {
-	c := newCluster(together)
-	c.apart = true
-	for i := range apart {
-		s := &simNode{name: fmt.Sprintf("host-%d", together+i+1), zone: fmt.Sprintf("zone-%d", i%3), access: accessOK}
+// startIsolated starts hosts of which the last ones have read only their own announcement, and the
+// others only each other's.
+func startIsolated(connected, isolated int) *cluster {
+	c := newCluster(connected)
+	c.isolated = true
+	for i := range isolated {
+		s := &simNode{name: fmt.Sprintf("host-%d", connected+i+1), zone: fmt.Sprintf("zone-%d", i%3), access: accessOK}
 		c.nodes = append(c.nodes, s)
 		c.byName[s.name] = s
 		c.start(s)
@@ -33,47 +32,47 @@
 	return c
 }
 
-// TestHostsMeetThatFoundNobody: hosts that have read the announcements too early, each only
-// its own, soon know what all others know, and then each of them.
-func TestHostsMeetThatFoundNobody(t *testing.T) {
-	for _, tt := range []struct{ together, apart int }{{0, 2}, {2, 1}, {0, 8}, {7, 1}, {59, 1}, {100, 1}} {
-		t.Run(fmt.Sprint(tt.together, " and ", tt.apart), func(t *testing.T) {
-			c := startApart(tt.together, tt.apart)
+// TestIsolatedHostsFindEachOther: hosts that have read only their own announcement soon share the
+// quarantine, and then know each other.
+func TestIsolatedHostsFindEachOther(t *testing.T) {
+	for _, tt := range []struct{ connected, isolated int }{{0, 2}, {2, 1}, {0, 8}, {7, 1}, {59, 1}, {100, 1}} {
+		t.Run(fmt.Sprint(tt.connected, " and ", tt.isolated), func(t *testing.T) {
+			c := startIsolated(tt.connected, tt.isolated)
 			bad := quarantiner.Identify(quarantiner.Parts{Target: "bad"})
 			for i := range quarantiner.Bar {
 				at := c.now.Add(time.Duration(i) * time.Second)
 				c.nodes[0].node.opts.Quarantine.Ended(at, bad, fmt.Sprint(i), at)
 			}
-			c.run(inTouch)
+			c.run(convergenceTime)
 			for _, s := range c.nodes {
 				assert.Equal(t, s.node.opts.Quarantine.Standing(c.now, bad).Standing, quarantiner.Barred, s.name)
 			}
-			c.run(inTouch)
+			c.run(convergenceTime)
 			for _, s := range c.nodes {
-				assert.Equal(t, len(s.node.hosts.Live()), tt.together+tt.apart, s.name)
+				assert.Equal(t, len(s.node.hosts.Live()), tt.connected+tt.isolated, s.name)
 			}
 		})
 	}
 }
 
-// TestHostsMeetAfterLongCut: hosts that were cut off from each other for so long that each
-// side has forgotten the other know each other soon after the cut.
-func TestHostsMeetAfterLongCut(t *testing.T) {
+// TestHostsRejoinAfterLongPartition: hosts that have forgotten each other during a long partition
+// know each other soon after it ends.
+func TestHostsRejoinAfterLongPartition(t *testing.T) {
 	for _, hosts := range []int{2, 8, 30} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			c := newCluster(hosts)
 			c.run(5 * time.Second)
-			c.cut = make(map[string]bool)
+			c.partition = make(map[string]bool)
 			for _, s := range c.nodes[:hosts/2] {
-				c.cut[s.name] = true
+				c.partition[s.name] = true
 			}
 			c.run(2 * DefaultTiming().Forget)
 			for _, s := range c.nodes {
 				_, known := s.node.hosts.Lookup(c.nodes[hosts/2].name)
-				assert.Equal(t, known, !c.cut[s.name], s.name)
+				assert.Equal(t, known, !c.partition[s.name], s.name)
 			}
-			c.heal()
-			c.run(inTouch)
+			c.healPartition()
+			c.run(convergenceTime)
 			for _, s := range c.nodes {
 				assert.Equal(t, len(s.node.hosts.Live()), hosts, s.name)
 			}
@@ -81,26 +80,25 @@
 	}
 }
 
-// TestSeekingIsRare: of hosts that know each other one looks for others, ever more seldom,
-// and greets few of those that announced themselves and are gone. Hosts that stand by in a
-// large fleet look for nobody.
-func TestSeekingIsRare(t *testing.T) {
-	const gone, doubling = 100, 5 // doubling is the number of looks before the interval is the longest.
-	for _, tt := range []struct{ here, minutes int }{{8, 5}, {60, 1}} {
-		t.Run(fmt.Sprint(tt.here), func(t *testing.T) {
-			c := newCluster(tt.here)
+// TestSearchesAreRare: only one host searches for unknown ones, at growing intervals, and
+// announcements of ended hosts do not add live ones.
+func TestSearchesAreRare(t *testing.T) {
+	const gone, doubling = 100, 5 // doubling is the number of searches before the interval is longest
+	for _, tt := range []struct{ live, minutes int }{{8, 5}, {60, 1}} {
+		t.Run(fmt.Sprint(tt.live), func(t *testing.T) {
+			c := newCluster(tt.live)
 			c.announceGone(gone)
 			c.run(time.Duration(tt.minutes) * time.Minute)
-			assert.Assert(t, c.sought <= tt.minutes*int(time.Minute/seekLongest)+doubling, "%d looks", c.sought)
-			assert.Assert(t, c.sought > 0)
-			for _, s := range c.nodes[:tt.here] {
-				assert.Equal(t, len(s.node.hosts.Live()), tt.here)
+			assert.Assert(t, c.searches <= tt.minutes*int(time.Minute/maxSearchInterval)+doubling, "%d searches", c.searches)
+			assert.Assert(t, c.searches > 0)
+			for _, s := range c.nodes[:tt.live] {
+				assert.Equal(t, len(s.node.hosts.Live()), tt.live)
 			}
 		})
 	}
 }
 
-// announceGone adds announcements of hosts that have ended.
+// announceGone adds announcements of n ended hosts.
 func (c *cluster) announceGone(n int) {
 	for i := range n {
 		s := &simNode{name: fmt.Sprintf("gone-%d", i), down: true}
@@ -109,44 +107,43 @@
 	}
 }
 
-// TestAnnouncementsOfGoneHostsAreDropped: announcements of hosts that nobody has known for
-// long are dropped, and no others.
+// TestAnnouncementsOfGoneHostsAreDropped: only announcements of hosts unknown for long are removed.
 func TestAnnouncementsOfGoneHostsAreDropped(t *testing.T) {
-	const here, gone = 3, 100
-	c := newCluster(here)
+	const live, gone = 3, 100
+	c := newCluster(live)
 	c.announceGone(gone)
-	c.run(announcedLife - time.Minute)
-	assert.Equal(t, len(c.cards), here+gone)
+	c.run(announcementTTL - time.Minute)
+	assert.Equal(t, len(c.announcements), live+gone)
 	c.run(3 * time.Minute)
-	assert.Equal(t, len(c.cards), here)
+	assert.Equal(t, len(c.announcements), live)
 }
 
-// TestCutHostsAnnounceThemselvesAgain: of two sides that each drop the other's announcements
-// during a long cut, enough stay for them to meet afterwards, without any connection that was
-// kept trying.
-func TestCutHostsAnnounceThemselvesAgain(t *testing.T) {
+// TestPartitionedHostsAnnounceAgain: both sides of a long partition remove each other's
+// announcements. Enough remain for the sides to find each other afterwards, even if no connection
+// is retried.
+func TestPartitionedHostsAnnounceAgain(t *testing.T) {
 	c := newCluster(4)
-	c.cut = map[string]bool{c.nodes[0].name: true, c.nodes[1].name: true}
-	c.run(announcedLife + 2*time.Minute)
-	c.cut = nil
-	c.run(seekLongest + inTouch)
+	c.partition = map[string]bool{c.nodes[0].name: true, c.nodes[1].name: true}
+	c.run(announcementTTL + 2*time.Minute)
+	c.partition = nil
+	c.run(maxSearchInterval + convergenceTime)
 	for _, s := range c.nodes {
 		assert.Equal(t, len(s.node.hosts.Live()), 4, s.name)
 	}
 }
 
-// TestIntroducersAreReplenished: most hosts that were announced are not any more. Others announce
-// themselves until as many are as hosts that start shall find, and no more.
+// TestIntroducersAreReplenished: when most announcements are gone, hosts announce themselves until
+// there are as many introducers as starting hosts need, and no more.
 func TestIntroducersAreReplenished(t *testing.T) {
-	const here = 2 * introducer.Introducers
-	c := newCluster(here)
+	const live = 2 * introducer.Introducers
+	c := newCluster(live)
 	c.idle = true
-	for _, s := range c.nodes[:here-5] {
-		delete(c.cards, s.name)
+	for _, s := range c.nodes[:live-5] {
+		delete(c.announcements, s.name)
 	}
-	c.run(2 * seekFirst)
-	assert.Equal(t, len(c.cards), introducer.Introducers)
-	changes := c.cardsEnd
-	c.run(seekLongest)
-	assert.Equal(t, c.cardsEnd, changes)
+	c.run(2 * firstSearchDelay)
+	assert.Equal(t, len(c.announcements), introducer.Introducers)
+	changes := c.announcementsEnd
+	c.run(maxSearchInterval)
+	assert.Equal(t, c.announcementsEnd, changes)
 }
--- a/conductor/senders.go
+++ b/conductor/senders.go
@@ -13,20 +13,18 @@
 )
 
 const (
-	// senderLife is how long a host that no longer serves still counts as one that may
-	// send to upstreams: others cannot tell one that is cut off from one that has ended.
-	senderLife = 30 * time.Second
-	// acquaintance is the time after its start in which a host may not know the others:
-	// they speak to it within 1.2 s.
-	acquaintance = 1500 * time.Millisecond
+	// senderTTL is how long a host that no longer serves may still send to upstreams: a partitioned
+	// host looks like one that has ended.
+	senderTTL = 30 * time.Second
+	// startupTime is the time after its start in which a host may not know the others.
+	startupTime = 1500 * time.Millisecond
 )
 
-// senders remembers when each host was last seen to serve.
+// senders maps each host to when it last served.
 type senders map[string]time.Time
 
-// update takes in who serves now and returns, sorted, who may send to upstreams: in a
-// small fleet all hosts that are known, in what state ever, in a large one those that
-// serve or did so lately.
+// update records which hosts serve and returns, sorted, those that may send to upstreams: in a
+// small fleet all known hosts in any state, in a large one those that serve or recently did.
 func (s senders) update(now time.Time, hosts []tracker.HostRecord, serving activator.Selection) []string {
 	if serving.All {
 		for _, r := range hosts {
@@ -36,6 +34,6 @@
 	for name := range serving.Active {
 		s[name] = now
 	}
-	maps.DeleteFunc(s, func(_ string, at time.Time) bool { return now.Sub(at) > senderLife })
+	maps.DeleteFunc(s, func(_ string, at time.Time) bool { return now.Sub(at) > senderTTL })
 	return slices.Sorted(maps.Keys(s))
 }
--- a/conductor/standby_test.go
+++ b/conductor/standby_test.go
@@ -14,9 +14,9 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// TestStandbysAreQuiet: in a fleet without work, a host that stands by sends few
-// messages, and nobody is taken for silent.
-func TestStandbysAreQuiet(t *testing.T) {
+// TestStandbysSendFewMessages: in an idle fleet standby hosts send few messages, and no host is
+// suspected.
+func TestStandbysSendFewMessages(t *testing.T) {
 	c := newCluster(120)
 	c.idle = true
 	c.write(follower.FeedOperator, "config", "version 1")
@@ -25,7 +25,7 @@
 	before := c.calls
 	const seconds = 5
 	c.run(seconds * time.Second)
-	active := c.nodes[0].node.paths().serving.Active
+	active := c.nodes[0].node.topology().serving.Active
 	for _, s := range c.nodes {
 		for _, r := range s.node.hosts.All() {
 			assert.Equal(t, r.State, tracker.HostLive, "%s as %s sees it", r.Host, s.name)
@@ -34,17 +34,16 @@
 			assert.Assert(t, c.sent[s.name] <= 16*seconds, "%s sent %d messages in %d s", s.name, c.sent[s.name], seconds)
 		}
 	}
-	assert.Assert(t, c.calls-before <= 8*seconds, "%d questions to the store in %d s", c.calls-before, seconds)
+	assert.Assert(t, c.calls-before <= 8*seconds, "%d store calls in %d s", c.calls-before, seconds)
 }
 
-// TestStandbysAreCalledIn: all active hosts of a zone die at once. Others of the zone
-// are active for every host within 2 s, know the configuration, and hear of the work of
-// all others.
-func TestStandbysAreCalledIn(t *testing.T) {
+// TestStandbysReplaceActiveHosts: all active hosts of a zone end at once. Within 2 s all hosts
+// select others of the zone, which know the configuration and receive all load reports.
+func TestStandbysReplaceActiveHosts(t *testing.T) {
 	c := newCluster(60)
 	c.write(follower.FeedOperator, "config", "version 1")
 	c.run(5 * time.Second)
-	before := c.nodes[0].node.paths().serving
+	before := c.nodes[0].node.topology().serving
 	for _, name := range before.Zones["zone-1"] {
 		c.act("kill", c.byName[name])
 	}
@@ -53,35 +52,35 @@
 		if s.down {
 			continue
 		}
-		after := s.node.paths().serving
+		after := s.node.topology().serving
 		assert.Assert(t, len(after.Zones["zone-1"]) >= 3, "%s: %v", s.name, after.Zones)
 		for _, name := range after.Zones["zone-1"] {
-			assert.Assert(t, !c.byName[name].down, "%s still counts on %s", s.name, name)
+			assert.Assert(t, !c.byName[name].down, "%s still selects %s", s.name, name)
 		}
 		assert.DeepEqual(t, after.Zones["zone-0"], before.Zones["zone-0"])
 	}
 	c.run(time.Second)
-	for _, name := range c.nodes[0].node.paths().serving.Zones["zone-1"] {
+	for _, name := range c.nodes[0].node.topology().serving.Zones["zone-1"] {
 		s := c.byName[name]
 		assert.Equal(t, s.version, uint64(1), name)
 		for _, o := range c.nodes {
 			_, heard := s.reports[o.name]
-			assert.Assert(t, heard || o == s || o.down, "%s has not heard of the work of %s", name, o.name)
+			assert.Assert(t, heard || o == s || o.down, "%s has no report of %s", name, o.name)
 		}
 	}
 }
 
-// TestEntriesAreToldOnce: upstreams write their entries again and again. What says
-// nothing new goes to nobody, and a change to all hosts at once.
-func TestEntriesAreToldOnce(t *testing.T) {
+// TestUnchangedEntriesAreNotForwarded: upstreams rewrite their entries all the time. Unchanged
+// entries are not forwarded, and a change reaches all hosts at once.
+func TestUnchangedEntriesAreNotForwarded(t *testing.T) {
 	c := newCluster(20)
 	c.idle = true
 	c.write(follower.FeedOperator, "config", "version 1")
-	told := 0
-	c.seen = func(ev PeerMessage) {
+	forwarded := 0
+	c.onMessage = func(ev PeerMessage) {
 		for _, news := range ev.Message.News {
 			if news.Feed == follower.FeedUpstreams && !news.Full {
-				told += len(news.Records)
+				forwarded += len(news.Records)
 			}
 		}
 	}
@@ -92,8 +91,8 @@
 		}
 		c.run(time.Second)
 	}
-	most := 20 * upstreams * 2
-	assert.Assert(t, told <= most, "%d records were passed on, at most %d are expected", told, most)
+	limit := 20 * upstreams * 2
+	assert.Assert(t, forwarded <= limit, "%d records were forwarded, at most %d are expected", forwarded, limit)
 	c.write(follower.FeedUpstreams, "u3", "leaving")
 	c.run(time.Second)
 	for _, s := range c.nodes {
@@ -101,9 +100,9 @@
 	}
 }
 
-// TestFirstStartAsksFew: hosts that all start for the first time find each other before
-// they ask, so that only active ones ask the store for all that it has.
-func TestFirstStartAsksFew(t *testing.T) {
+// TestFirstStartMakesFewStoreCalls: hosts that start for the first time find each other before they
+// read the feeds, so that only active ones read whole listings.
+func TestFirstStartMakesFewStoreCalls(t *testing.T) {
 	c := startCluster(60, true)
 	c.idle = true
 	c.write(follower.FeedOperator, "config", "version 1")
@@ -112,14 +111,14 @@
 	for _, s := range c.nodes {
 		assert.Assert(t, s.node.view.Ready(), s.name)
 	}
-	active := len(c.nodes[0].node.paths().active)
-	most := 2*active + 2*4*int(time.Second/DefaultTiming().GatherMany)
-	assert.Assert(t, c.calls <= most, "%d questions, at most %d are expected", c.calls, most)
+	active := len(c.nodes[0].node.topology().active)
+	limit := 2*active + 2*4*int(time.Second/DefaultTiming().ReadIntervalLarge)
+	assert.Assert(t, c.calls <= limit, "%d store calls, at most %d are expected", c.calls, limit)
 }
 
-// TestStartReadsFewListings: however many hosts start together, for the first time or after all
-// were killed, two of them read each feed whole. The others are told by hosts of their own
-// availability zone, so that few listings cross zones.
+// TestStartReadsFewListings: when a fleet starts, for the first time or after all hosts ended, two
+// hosts read each whole feed. The others get it from hosts of their own zone, so that few listings
+// cross zones.
 func TestStartReadsFewListings(t *testing.T) {
 	for _, n := range []int{60, 200} {
 		for _, first := range []bool{true, false} {
@@ -130,15 +129,15 @@
 				c.write(follower.FeedUpstreams, "u", "ready")
 				if !first {
 					c.run(8 * time.Second)
-					c.firstStart, c.wholes = false, 0
+					c.firstStart, c.listingReads = false, 0
 					for _, s := range c.nodes {
 						c.start(s)
 					}
 				}
 				across := 0
-				c.seen = func(ev PeerMessage) {
+				c.onMessage = func(ev PeerMessage) {
 					for _, news := range ev.Message.News {
-						if news.Full && news.Feed == follower.FeedUpstreams && c.to.zone != c.byName[ev.From].zone {
+						if news.Full && news.Feed == follower.FeedUpstreams && c.recipient.zone != c.byName[ev.From].zone {
 							across++
 						}
 					}
@@ -147,17 +146,17 @@
 				for _, s := range c.nodes {
 					assert.Assert(t, s.node.view.Ready(), s.name)
 				}
-				assert.Assert(t, c.wholes <= 2*firstReaders, "%d listings", c.wholes)
-				active := len(c.nodes[0].node.paths().active)
+				assert.Assert(t, c.listingReads <= 2*initialReaders, "%d listings", c.listingReads)
+				active := len(c.nodes[0].node.topology().active)
 				assert.Assert(t, across <= 2*active, "%d listings to hosts of other zones", across)
 			})
 		}
 	}
 }
 
-// TestStoreAwayFromLargeFleet: the store turns all hosts away for a while. They ask few
-// questions meanwhile, and a change is known to all within 1.5 s of its return.
-func TestStoreAwayFromLargeFleet(t *testing.T) {
+// TestStoreOutageInLargeFleet: hosts make few calls to a store that refuses them, and a change
+// reaches all hosts within 1.5 s of its recovery.
+func TestStoreOutageInLargeFleet(t *testing.T) {
 	c := newCluster(60)
 	c.idle = true
 	c.write(follower.FeedOperator, "config", "version 1")
@@ -169,7 +168,7 @@
 	before := c.calls
 	const seconds = 8
 	c.run(seconds * time.Second)
-	assert.Assert(t, c.calls-before < 70*seconds, "%d questions in %d s", c.calls-before, seconds)
+	assert.Assert(t, c.calls-before < 70*seconds, "%d store calls in %d s", c.calls-before, seconds)
 	for _, s := range c.nodes {
 		c.set(s, accessOK)
 	}
@@ -180,16 +179,16 @@
 	}
 }
 
-// TestReadyIsToldOfActiveHosts: hosts that serve callers tell that they are ready, those
-// that stand by when they are called in.
-func TestReadyIsToldOfActiveHosts(t *testing.T) {
+// TestActiveHostsAnnounceReady: active hosts broadcast that they are ready, and standby hosts when
+// they become active.
+func TestActiveHostsAnnounceReady(t *testing.T) {
 	c := newCluster(40)
 	c.idle = true
 	c.write(follower.FeedOperator, "config", "version 1")
 	c.write(follower.FeedUpstreams, "u", "ready")
 	c.run(8 * time.Second)
 	ready := func(s *simNode) (active, others int) {
-		serving := s.node.paths().serving.Active
+		serving := s.node.topology().serving.Active
 		for _, r := range s.node.hosts.All() {
 			switch {
 			case r.Ready && serving[r.Host]:
@@ -200,11 +199,11 @@
 		}
 		return active, others
 	}
-	first := c.nodes[0].node.paths().active
+	first := c.nodes[0].node.topology().active
 	for _, s := range c.nodes {
 		active, others := ready(s)
 		assert.Equal(t, active, len(first), s.name)
-		assert.Assert(t, others <= 16, "%s knows %d more", s.name, others) // few hosts at the start all serve
+		assert.Assert(t, others <= 16, "%s knows %d more", s.name, others) // while few hosts are known, all serve
 	}
 	for _, name := range first {
 		c.byName[name].down = true
@@ -213,7 +212,7 @@
 	for _, s := range c.nodes {
 		if !s.down {
 			active, _ := ready(s)
-			assert.Equal(t, active, len(s.node.paths().active), s.name)
+			assert.Equal(t, active, len(s.node.topology().active), s.name)
 		}
 	}
 }
--- a/conductor/tick_bench_test.go
+++ b/conductor/tick_bench_test.go
@@ -11,8 +11,8 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// BenchmarkIdleSecond3000 is what a second takes on a host that stands by in a fleet of
-// 300 hosts before 3,000 upstreams, when nothing happens.
+// BenchmarkIdleSecond3000 measures one second of a standby host in an idle fleet of 300 hosts and
+// 3,000 upstreams.
 func BenchmarkIdleSecond3000(b *testing.B) {
 	c := newCluster(300)
 	c.idle = true
@@ -23,7 +23,7 @@
 	c.run(3 * time.Second)
 	s := c.nodes[0]
 	for _, o := range c.nodes {
-		if !o.node.paths().ours {
+		if !o.node.topology().selfActive {
 			s = o
 		}
 	}
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -5,68 +5,64 @@
 
 import "time"
 
-// Timing has the intervals of the control plane.
+// Timing holds the intervals and timeouts of the control plane.
 type Timing struct {
-	Tick    time.Duration // Tick is the interval of the control loop.
-	Beat    time.Duration // Beat is the interval between heartbeats.
-	Report  time.Duration // Report is the interval between reports of work under way.
-	Suspect time.Duration // Suspect is the silence after which a host is no longer named to callers.
+	Tick      time.Duration // Tick is the interval of the control loop.
+	Heartbeat time.Duration // Heartbeat is the interval between heartbeats.
+	Report    time.Duration // Report is the interval between load reports.
+	Suspect   time.Duration // Suspect is the silence after which a host is suspected.
 
-	// BeatStandby and SuspectStandby are the same for hosts that stand by in a large
-	// fleet, and towards them.
-	BeatStandby    time.Duration
-	SuspectStandby time.Duration
+	// HeartbeatStandby and SuspectStandby are the same to and from standby hosts of a large fleet.
+	HeartbeatStandby time.Duration
+	SuspectStandby   time.Duration
 
 	Forget time.Duration // Forget is how long hosts that are gone are remembered.
 
-	Admit time.Duration // Admit is the interval between looks at the times of requests that wait.
+	Admit time.Duration // Admit is the interval between checks of waiting requests' deadlines.
 
-	Wait   time.Duration // Wait is how long the store holds a question for the next record.
-	Fresh  time.Duration // Fresh is the age from which the second in rank reads a feed as well.
-	Step   time.Duration // Step is added to Fresh for each further one.
-	Gather time.Duration // Gather is the least time between two questions, in which records come together.
-	// GatherMany is Gather in a large fleet, where each page goes to all hosts.
-	GatherMany time.Duration
-	Again      time.Duration // Again is the pause after a call to the store that failed.
-	Behind     time.Duration // Behind is how long another host may know more before it is asked.
-	Ask        time.Duration // Ask is the interval between questions to other hosts for a page.
-	AskAll     time.Duration // AskAll is the same for a whole listing in a large fleet.
+	LongPoll     time.Duration // LongPoll is how long the store waits for the next record.
+	TakeoverAge  time.Duration // TakeoverAge is the age of a feed from which the second host in rank reads it.
+	TakeoverStep time.Duration // TakeoverStep is added to TakeoverAge for each further place.
+	ReadInterval time.Duration // ReadInterval is the least time between two reads, so that records accumulate.
+	// ReadIntervalLarge is ReadInterval in a large fleet, where each page goes to all hosts.
+	ReadIntervalLarge time.Duration
+	RetryDelay        time.Duration // RetryDelay is the delay after a failed call to the store.
+	MaxLag            time.Duration // MaxLag is how long another host may know more before it is asked.
+	AskInterval       time.Duration // AskInterval is the least time between requests to peers for a page.
+	ListingInterval   time.Duration // ListingInterval is the same for a whole listing in a large fleet.
 
-	// Term is how long a hold on the renewals' lease lasts without renewal. When its
-	// holder dies, the next order comes a term, a turn of 3 s and a margin later, and
-	// 18 engines take 6 s: together they must stay within the 10 s in which engines
-	// are to be renewed.
-	Term   time.Duration
-	Margin time.Duration // Margin is taken off a term by its holder, and added by others.
+	// LeaseTerm is how long the renewer's lease lasts without renewal. After its holder dies, the
+	// next order follows a term, a turn and a margin later.
+	LeaseTerm   time.Duration
+	LeaseMargin time.Duration // LeaseMargin is subtracted from the term by the holder and added by others.
 }
 
-// DefaultTiming returns timings with which a change is known everywhere within
-// 2 s although the host that reads for all has just been cut off: others hear
-// from it every 0.8 s, and the next one reads 1.15 s after it was heard last.
+// DefaultTiming returns timings with which a change reaches all hosts within 2 s even if the host
+// that reads the feeds is cut off at that moment.
 func DefaultTiming() Timing {
 	return Timing{
-		Tick:    50 * time.Millisecond,
-		Beat:    200 * time.Millisecond,
-		Report:  100 * time.Millisecond,
-		Suspect: 800 * time.Millisecond,
+		Tick:      50 * time.Millisecond,
+		Heartbeat: 200 * time.Millisecond,
+		Report:    100 * time.Millisecond,
+		Suspect:   800 * time.Millisecond,
 
-		BeatStandby:    time.Second,
-		SuspectStandby: 3500 * time.Millisecond,
+		HeartbeatStandby: time.Second,
+		SuspectStandby:   3500 * time.Millisecond,
 
-		Forget: 30 * time.Second,
-		Admit:  20 * time.Millisecond,
-		Wait:   700 * time.Millisecond,
-		Fresh:  time.Second,
-		Step:   150 * time.Millisecond,
-		Gather: 100 * time.Millisecond,
+		Forget:       30 * time.Second,
+		Admit:        20 * time.Millisecond,
+		LongPoll:     700 * time.Millisecond,
+		TakeoverAge:  time.Second,
+		TakeoverStep: 150 * time.Millisecond,
+		ReadInterval: 100 * time.Millisecond,
 
-		GatherMany: 250 * time.Millisecond,
+		ReadIntervalLarge: 250 * time.Millisecond,
 
-		Again:  250 * time.Millisecond,
-		Behind: 150 * time.Millisecond,
-		Ask:    300 * time.Millisecond,
-		AskAll: 1200 * time.Millisecond,
-		Term:   time.Second,
-		Margin: 200 * time.Millisecond,
+		RetryDelay:      250 * time.Millisecond,
+		MaxLag:          150 * time.Millisecond,
+		AskInterval:     300 * time.Millisecond,
+		ListingInterval: 1200 * time.Millisecond,
+		LeaseTerm:       time.Second,
+		LeaseMargin:     200 * time.Millisecond,
 	}
 }
--- a/conductor/tree.go
+++ b/conductor/tree.go
@@ -12,41 +12,41 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// meshHosts is the number of active hosts up to which each tells all others directly
-// what it has under way. Beyond, they do so in cells, and hear sums of the rest.
-const meshHosts = 48
+// maxMeshHosts is the number of active hosts up to which each reports its load to all others
+// directly. Beyond it they report within cells and receive sums of the rest.
+const maxMeshHosts = 48
 
-// tree says which hosts serve callers, and how this host reaches all others when they
-// are many: through one relay in each availability zone, the first of its active hosts.
-// Bytes between availability zones that all hosts are to know flow between relays only.
-type tree struct {
-	small   bool                // small tells that everyone serves and is a neighbour.
-	serving activator.Selection // serving is which hosts serve callers.
-	active  []string            // active are those of all zones.
-	ours    bool                // ours tells that this host is one of them.
-	mesh    bool                // mesh tells that the active hosts tell each other directly.
-	relay   string
-	relays  []string   // relays are those of the other zones.
-	members []string   // members are the live hosts of this zone.
-	cells   [][]string // cells are the active ones of this zone divided, where there is no mesh.
-	own     int        // own is the place of this host's cell among them.
-	standby int        // standby is the place of this host among those that stand by.
+// topology says which hosts serve callers and how messages reach all others. A large fleet has one
+// relay in each availability zone, its first active host; broadcasts cross zones between relays
+// only.
+type topology struct {
+	small         bool                // small reports whether all hosts serve and are neighbours.
+	serving       activator.Selection // serving is the selection of hosts that serve callers.
+	active        []string            // active are the serving hosts of all zones.
+	selfActive    bool                // selfActive reports whether this host is one of them.
+	directReports bool                // directReports is whether all active hosts report to each other.
+	relay         string
+	relays        []string   // relays are those of the other zones.
+	members       []string   // members are the live hosts of this zone.
+	cells         [][]string // cells divide this zone's active hosts; nil with directReports.
+	ownCell       int        // ownCell is the index of this host's cell.
+	standbyPlace  int        // standbyPlace is this host's place among the standby hosts.
 }
 
-func (n *Node) paths() *tree {
-	if n.tree == nil {
-		n.tree = n.findPaths()
+func (n *Node) topology() *topology {
+	if n.topo == nil {
+		n.topo = n.computeTopology()
 	}
-	return n.tree
+	return n.topo
 }
 
-func (n *Node) findPaths() *tree {
+func (n *Node) computeTopology() *topology {
 	self, zone := n.opts.Self.Host, n.opts.Self.AvailabilityZone
-	t := &tree{serving: activator.Select(n.hosts.All(), n.zoneUses())}
+	t := &topology{serving: activator.Select(n.hosts.All(), n.zoneUse())}
 	t.small = t.serving.All
 	t.active = t.serving.Hosts()
-	t.ours = slices.Contains(t.active, self)
-	t.mesh = len(t.active) <= meshHosts
+	t.selfActive = slices.Contains(t.active, self)
+	t.directReports = len(t.active) <= maxMeshHosts
 	for _, z := range slices.Sorted(maps.Keys(t.serving.Zones)) {
 		first := t.serving.Zones[z][0]
 		if z == zone {
@@ -60,42 +60,42 @@
 			t.members = append(t.members, r.Host)
 		}
 	}
-	if !t.ours {
-		t.standby = max(0, tracker.Place(n.hosts.Live(), self, "standby"))
+	if !t.selfActive {
+		t.standbyPlace = max(0, tracker.Place(n.hosts.Live(), self, "standby"))
 	}
-	if t.mesh {
+	if t.directReports {
 		n.hosts.SetActive(n.now, t.serving.Active)
-		n.do(PublishCell{Cells: 1, Direct: true})
+		n.emit(PublishCell{Cells: 1, Direct: true})
 		return t
 	}
 	n.hosts.SetActive(n.now, nil)
-	t.cells = cellsOf(t.serving.Zones[zone])
-	t.own = max(0, slices.IndexFunc(t.cells, func(c []string) bool { return slices.Contains(c, self) }))
-	n.do(PublishCell{Own: t.own, Cells: max(1, len(t.cells))})
+	t.cells = divideCells(t.serving.Zones[zone])
+	t.ownCell = max(0, slices.IndexFunc(t.cells, func(c []string) bool { return slices.Contains(c, self) }))
+	n.emit(PublishCell{Own: t.ownCell, Cells: max(1, len(t.cells))})
 	return t
 }
 
-// direct returns the hosts that this one tells directly what it has under way.
-func (t *tree) direct() []string {
-	if t.mesh {
+// reportTargets returns the hosts that this one reports its load to directly.
+func (t *topology) reportTargets() []string {
+	if t.directReports {
 		return t.active
 	}
 	return t.cell()
 }
 
-// cell returns the hosts that this one tells directly; nil if it knows none.
-func (t *tree) cell() []string {
+// cell returns the hosts of this one's cell; nil if there are no cells.
+func (t *topology) cell() []string {
 	if len(t.cells) == 0 {
 		return nil
 	}
-	return t.cells[t.own]
+	return t.cells[t.ownCell]
 }
 
-func (t *tree) relaying(host string) bool { return t.relay == host }
+func (t *topology) isRelay(host string) bool { return t.relay == host }
 
-// tellActive sends a message to the hosts that serve callers.
-func (n *Node) tellActive(m *messenger.Message) {
-	if t := n.paths(); !t.small && t.mesh {
+// sendToActive sends a message to the hosts that serve callers.
+func (n *Node) sendToActive(m *messenger.Message) {
+	if t := n.topology(); !t.small && t.directReports {
 		n.sendAll(t.active, "", m)
 		return
 	}
@@ -104,14 +104,14 @@
 
 // broadcast sends a message to all hosts.
 func (n *Node) broadcast(m *messenger.Message) {
-	t := n.paths()
-	if t.relaying(n.opts.Self.Host) {
-		n.lastPaged = n.now
+	t := n.topology()
+	if t.isRelay(n.opts.Self.Host) {
+		n.lastRelayed = n.now
 	}
 	switch {
 	case t.small:
-		n.spread("", m)
-	case t.relaying(n.opts.Self.Host):
+		n.sendToNeighbours("", m)
+	case t.isRelay(n.opts.Self.Host):
 		n.sendAll(t.members, "", m)
 		n.sendAll(t.relays, "", withRelay(m, messenger.RelayZone))
 	case t.relay != "":
@@ -125,16 +125,16 @@
 	return &next
 }
 
-// relay passes a message on for another host.
+// relay forwards a message for another host.
 func (n *Node) relay(from string, m *messenger.Message) {
 	if m.Relay == messenger.RelayNone {
 		return
 	}
-	t := n.paths()
-	if !t.relaying(n.opts.Self.Host) {
-		return // the sender sees the hosts otherwise; what it said is said again soon
+	t := n.topology()
+	if !t.isRelay(n.opts.Self.Host) {
+		return // the sender's view differs; it repeats its message soon
 	}
-	n.lastPaged = n.now
+	n.lastRelayed = n.now
 	n.sendAll(t.members, from, withRelay(m, messenger.RelayNone))
 	if m.Relay == messenger.RelayAll {
 		n.sendAll(t.relays, from, withRelay(m, messenger.RelayZone))
