--- a/renewer/doc.go
+++ b/renewer/doc.go
@@ -1,24 +1,23 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package renewer brings engines to the weight versions that operators name.
+// Package renewer rolls out weight versions to engines.
 //
-// One host at a time gives orders, under a lease that lies in the platform's
-// store and is written by compare-and-set. The holder counts its term from before
-// it asked, less a margin; another host counts from when it first saw the record,
-// so that two never believe in it at the same moment. Some engines do not check
-// who orders them, and orders of two hosts to one engine must lie a turn apart:
-// a new holder waits out term and turn, unless the old one has said that it
-// stopped, and which engines it had ordered when.
+// One host at a time sends load orders. It holds a lease, a record in the platform's
+// store that is written by compare-and-set. The holder counts its term from before it
+// sent the write, less a margin; other hosts count from when they first read the
+// record, so two hosts never hold the lease at once. Some engines do not check fencing
+// tokens, so orders of two hosts to one engine must be at least one turn apart: a new
+// holder waits for the term and one turn, unless the previous holder reported that it
+// has stopped and when it ordered which engines.
 //
-// A few engines load at once, since the weight store slows down beyond that. The
-// least busy ones come first; those ordered, and those next in line, are named to
-// all hosts so that these send new work elsewhere.
+// The number of engines that load concurrently is bounded, since the weight store slows
+// down under more. The least busy engines are ordered first. Engines that are loading or
+// will be ordered soon are announced to all hosts, which route new work elsewhere.
 //
-// A version under which engines end as they load it is tried with one engine at a time.
+// A version whose load ends engines is tried on one engine at a time.
 //
-// Renewer is pure: it does no I/O, starts no goroutine, and takes the time as an
-// argument.
+// The package does no I/O, starts no goroutines, and takes the time as an argument.
 //
 // # Usage
 //
--- a/renewer/doubt.go
+++ b/renewer/doubt.go
@@ -10,63 +10,62 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// A weight version may end each engine that loads it. Such an engine comes back with the
-// version of before, is behind again, and would be ordered again: all engines would end in
-// turns, as long as the version is named. So a version under which engines have ended, and that
-// none has taken, is tried with one engine at a time, and ever more seldom. One engine that has
-// it clears the version: engines end during renewals of good versions too.
+// A faulty weight version may crash every engine that loads it. Each engine restarts with the old
+// version and would be ordered again, so that the rollout would keep crashing engines. A version
+// that has crashed several engines, and that none has loaded, is therefore tried on one engine at a
+// time with exponential backoff. The first engine that loads it clears the doubt.
 
 const (
-	// doubted is the number of ends from which a version is doubted: as many engines load at
-	// once in small fleets.
-	doubted = 3
-	// firstDoubt is how long no engine is ordered after the first try of a doubted version has
-	// ended its engine; it doubles from try to try. The first try itself follows at once: where
-	// three engines have ended by chance, the renewal loses the time of one load.
-	firstDoubt = 10 * time.Second
-	// longestDoubt bounds it, so that a version ends some 32 engines a day.
-	longestDoubt = time.Hour
-	// longestTry is how long an engine may take to load; they take 2 s.
-	longestTry = 30 * time.Second
-	// mostLost bounds how many ends are remembered of a version.
-	mostLost = 64
+	// doubtThreshold is the number of ended engines from which a version is doubted; it equals the
+	// number of engines that load concurrently in a small fleet.
+	doubtThreshold = 3
+	// initialPause is the pause after the first failed try of a doubted version; it doubles with each
+	// further one.
+	initialPause = 10 * time.Second
+	// maxPause bounds the pause, and so the number of engines that a faulty version ends per day.
+	maxPause = time.Hour
+	// maxLoadTime is how long an engine without a confirmed result counts as loading.
+	maxLoadTime = 30 * time.Second
+	// maxDoubtStarts bounds the ended engines remembered per version.
+	maxDoubtStarts = 64
 )
 
-// Doubt is a weight version under which engines have ended.
+// Doubt is a weight version whose load has ended engines.
 type Doubt struct {
 	Model   string        `cbor:"1,keyasint"`
 	Version uint64        `cbor:"2,keyasint"`
-	Starts  []string      `cbor:"3,keyasint"`           // Starts are the starts of engines that ended as they loaded it.
-	Age     time.Duration `cbor:"4,keyasint,omitempty"` // Age is how long ago the last end was seen.
+	Starts  []string      `cbor:"3,keyasint"`           // Starts are the engine instances that ended while loading it.
+	Age     time.Duration `cbor:"4,keyasint,omitempty"` // Age is the time since the last of them ended.
 }
 
-// doubt is what is remembered of the version of a model that is named.
+// doubt is the local record of a doubted version of one model.
 type doubt struct {
 	version uint64
 	starts  []string
-	last    time.Time
+	lastEnd time.Time
 }
 
-func (d *doubt) note(start string) bool {
-	if len(d.starts) >= mostLost || slices.Contains(d.starts, start) {
+// add records an ended instance and reports whether it is new.
+func (d *doubt) add(start string) bool {
+	if len(d.starts) >= maxDoubtStarts || slices.Contains(d.starts, start) {
 		return false
 	}
 	d.starts = append(d.starts, start)
 	return true
 }
 
-// pause is how long after the last end no engine is ordered.
+// pause returns the minimum time between the last end and the next order.
 func (d *doubt) pause() time.Duration {
-	tries := len(d.starts) - doubted
+	tries := len(d.starts) - doubtThreshold
 	if tries <= 0 {
 		return 0
 	}
-	return min(firstDoubt<<min(tries-1, 16), longestDoubt)
+	return min(initialPause<<min(tries-1, 16), maxPause)
 }
 
-// lost takes in that an engine has ended that was told to load a version.
-func (r *Renewer) lost(now time.Time, id string, j *job) {
-	if !j.taken {
+// engineEnded records that an engine ended with an unconfirmed order to load a version.
+func (r *Renewer) engineEnded(now time.Time, id string, j *job) {
+	if !j.unconfirmed {
 		return
 	}
 	d := r.doubts[j.model]
@@ -75,47 +74,48 @@
 		r.doubts[j.model] = d
 	}
 	start := (&follower.Upstream{ID: id, Born: j.born}).Start()
-	if d.version != j.version || !d.note(start) {
+	if d.version != j.version || !d.add(start) {
 		return
 	}
-	d.last = now
-	if len(d.starts) >= doubted {
-		r.alerts = append(r.alerts, Doubted{Model: j.model, Version: j.version, Starts: slices.Clone(d.starts), Pause: d.pause()})
+	d.lastEnd = now
+	if len(d.starts) >= doubtThreshold {
+		r.events = append(r.events, Doubted{Model: j.model, Version: j.version, Starts: slices.Clone(d.starts), Pause: d.pause()})
 	}
 }
 
-// proved takes in that an engine has a version.
-func (r *Renewer) proved(model string, version uint64) {
+// clearDoubt removes the doubt about a version that an engine has loaded.
+func (r *Renewer) clearDoubt(model string, version uint64) {
 	if d := r.doubts[model]; d != nil && d.version <= version {
 		delete(r.doubts, model)
 	}
 }
 
-// mayLoad tells whether one more engine may be ordered to load a version, beside others that
-// may be loading it.
-func (r *Renewer) mayLoad(now time.Time, model string, version uint64, others int) bool {
+// loadAllowed reports whether one more engine may load the version while others may be loading it.
+func (r *Renewer) loadAllowed(now time.Time, model string, version uint64, others int) bool {
 	d := r.doubts[model]
-	if d == nil || d.version != version || len(d.starts) < doubted {
+	if d == nil || d.version != version || len(d.starts) < doubtThreshold {
 		return true
 	}
-	return others == 0 && now.Sub(d.last) >= d.pause()
+	return others == 0 && now.Sub(d.lastEnd) >= d.pause()
 }
 
-// trying tells that the engine may be loading the version. One that has shown nothing for long
-// holds up no other.
-func (j *job) trying(now time.Time) bool { return j.taken && now.Sub(j.since) < longestTry }
+// mayBeLoading reports whether the engine may be loading the version. It expires, so that an engine
+// that does not answer does not block the others.
+func (j *job) mayBeLoading(now time.Time) bool {
+	return j.unconfirmed && now.Sub(j.unconfirmedSince) < maxLoadTime
+}
 
-// doubtsNow returns what other hosts should know of doubted versions.
-func (r *Renewer) doubtsNow(now time.Time) []Doubt {
+// doubtList returns the doubted versions for the status.
+func (r *Renewer) doubtList(now time.Time) []Doubt {
 	var out []Doubt
 	for model, d := range r.doubts {
-		out = append(out, Doubt{Model: model, Version: d.version, Starts: d.starts, Age: now.Sub(d.last)})
+		out = append(out, Doubt{Model: model, Version: d.version, Starts: d.starts, Age: now.Sub(d.lastEnd)})
 	}
 	return out
 }
 
-// heardDoubts takes in what another host knows of doubted versions.
-func (r *Renewer) heardDoubts(now time.Time, doubts []Doubt) {
+// mergeDoubts merges the doubts of another host.
+func (r *Renewer) mergeDoubts(now time.Time, doubts []Doubt) {
 	for _, t := range doubts {
 		d := r.doubts[t.Model]
 		if d == nil || d.version < t.Version {
@@ -126,10 +126,10 @@
 			continue
 		}
 		for _, start := range t.Starts {
-			d.note(start)
+			d.add(start)
 		}
-		if at := now.Add(-max(0, t.Age)); at.After(d.last) {
-			d.last = at
+		if at := now.Add(-max(0, t.Age)); at.After(d.lastEnd) {
+			d.lastEnd = at
 		}
 	}
 }
--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -13,22 +13,22 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// loads is how long engines of these tests load weights.
-const loads = 500 * time.Millisecond
+// loadTime is how long the simulated engines take to load weights.
+const loadTime = 500 * time.Millisecond
 
-// fleet is engines that load weights as they are told, and end if ends says so; they are back
-// at once under another ID, with the weights of before.
+// fleet is a set of engines that load weights as ordered. An engine whose load crashes restarts at
+// once under another ID with its old weights.
 type fleet struct {
 	*stepper
-	ends  func(load int) bool // ends tells whether the load of this number ends its engine.
-	view  *follower.View
-	due   map[string]time.Time // due is when an engine's load is over.
-	loads int
-	ended int
+	crashes func(load int) bool // crashes reports whether the load with this number ends its engine.
+	view    *follower.View
+	due     map[string]time.Time // due is when an engine's load completes.
+	loads   int
+	ended   int
 }
 
 func newFleet(engines int, ends func(load int) bool) *fleet {
-	f := &fleet{stepper: newStepper("a"), ends: ends, due: make(map[string]time.Time)}
+	f := &fleet{stepper: newStepper("a"), crashes: ends, due: make(map[string]time.Time)}
 	f.view = &follower.View{Named: map[string]follower.Named{"m": {Version: 2}}}
 	var upstreams []follower.Upstream
 	for i := range engines {
@@ -38,12 +38,12 @@
 	return f
 }
 
-// run lets time pass, and returns whether all engines have the new version then.
+// run simulates the duration, and reports whether all engines have the new version afterwards.
 func (f *fleet) run(d time.Duration) bool {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(simTick) {
-		f.settle()
+		f.finishLoads()
 		for _, c := range f.r.Step(f.now, Input{View: f.view, Busy: func(string) int { return 0 }}) {
-			f.answer(c)
+			f.execute(c)
 		}
 	}
 	for u := range f.view.Upstreams.All() {
@@ -54,15 +54,15 @@
 	return true
 }
 
-func (f *fleet) answer(c Command) {
+func (f *fleet) execute(c Command) {
 	switch c := c.(type) {
 	case ReadLease:
-		f.r.LeaseRead(f.now, f.r.lease.now, nil)
+		f.r.LeaseRead(f.now, f.r.lease.newest, nil)
 	case WriteLease:
 		f.r.LeaseWritten(f.now, c, false, nil)
 	case Order:
 		if _, busy := f.due[c.Upstream.ID]; !busy {
-			f.due[c.Upstream.ID] = f.now.Add(loads)
+			f.due[c.Upstream.ID] = f.now.Add(loadTime)
 		}
 		f.r.Ordered(f.now, c, OrderAccepted)
 	case Ask:
@@ -71,15 +71,15 @@
 	}
 }
 
-// settle ends the loads whose time has come.
-func (f *fleet) settle() {
+// finishLoads completes the loads that are due.
+func (f *fleet) finishLoads() {
 	var upstreams []follower.Upstream
 	for u := range f.view.Upstreams.All() {
 		u := *u
 		if due, ok := f.due[u.ID]; ok && !f.now.Before(due) {
 			delete(f.due, u.ID)
 			f.loads++
-			if f.ends(f.loads) {
+			if f.crashes(f.loads) {
 				f.ended++
 				u = follower.Upstream{ID: fmt.Sprint("back-", f.ended), Standing: u.Standing, Weights: u.Weights}
 			} else {
@@ -91,23 +91,22 @@
 	f.view = &follower.View{Named: f.view.Named, Upstreams: follower.ListOf(upstreams...)}
 }
 
-// TestVersionThatEndsEngines: a version whose load ends each engine ends few of them, and is
-// tried again seldom.
+// TestVersionThatEndsEngines checks that a version whose load always crashes ends few engines and is
+// retried with backoff.
 func TestVersionThatEndsEngines(t *testing.T) {
 	f := newFleet(18, func(int) bool { return true })
 	f.run(5 * time.Second)
-	assert.Equal(t, f.ended, doubted+1)
-	f.run(30 * time.Second) // tries after 10 and 20 s more
-	assert.Equal(t, f.ended, doubted+3)
+	assert.Equal(t, f.ended, doubtThreshold+1)
+	f.run(30 * time.Second) // two tries, after pauses of 10 s and 20 s
+	assert.Equal(t, f.ended, doubtThreshold+3)
 	f.run(time.Hour)
 	const doublings = 10
-	assert.Assert(t, f.ended < doubted+doublings, "%d engines have ended", f.ended)
+	assert.Assert(t, f.ended < doubtThreshold+doublings, "%d engines have ended", f.ended)
 }
 
-// TestEndsByChance: engines that end by chance as they load do not keep a version from the
-// others.
+// TestEndsByChance checks that occasional crashes during loads do not block the rollout.
 func TestEndsByChance(t *testing.T) {
-	const inTime = 10 * time.Second // within which engines are to be renewed
+	const inTime = 10 * time.Second
 	for _, c := range []struct {
 		name string
 		ends func(load int) bool
@@ -124,18 +123,18 @@
 	}
 }
 
-// TestDoubtsAreHandedOver: a host that takes over knows what the one before has seen, and
-// forgets it with the first engine that has the version.
+// TestDoubtsAreHandedOver checks that a new holder takes over the doubts of the previous one, and
+// clears them once an engine has the version.
 func TestDoubtsAreHandedOver(t *testing.T) {
 	a := newFleet(18, func(int) bool { return true })
 	a.run(5 * time.Second)
 	b := newStepper("b")
 	b.now = a.now
 	b.r.Heard(b.now, a.r.Status(a.now))
-	assert.Assert(t, !b.r.mayLoad(b.now, "m", 2, 0))
-	assert.Assert(t, b.r.mayLoad(b.now, "m", 3, 0))
-	assert.Assert(t, b.r.mayLoad(b.now.Add(firstDoubt), "m", 2, 0))
-	assert.Assert(t, !b.r.mayLoad(b.now.Add(firstDoubt), "m", 2, 1))
+	assert.Assert(t, !b.r.loadAllowed(b.now, "m", 2, 0))
+	assert.Assert(t, b.r.loadAllowed(b.now, "m", 3, 0))
+	assert.Assert(t, b.r.loadAllowed(b.now.Add(initialPause), "m", 2, 0))
+	assert.Assert(t, !b.r.loadAllowed(b.now.Add(initialPause), "m", 2, 1))
 	b.r.outdated(b.now, oneEngine(2, 2))
-	assert.Assert(t, b.r.mayLoad(b.now, "m", 2, 1))
+	assert.Assert(t, b.r.loadAllowed(b.now, "m", 2, 1))
 }
--- a/renewer/handover_test.go
+++ b/renewer/handover_test.go
@@ -10,23 +10,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHolderGone: the holder is cut off from store and hosts while an engine
-// does not answer its orders. It goes on ordering until its term ends, and
-// nobody hears of that; the next holder must wait out term and turn.
+// TestHolderGone cuts the holder off from the store and its peers while an engine does not answer. It
+// keeps ordering unseen until its term ends; the next holder must wait for the term and one turn.
 func TestHolderGone(t *testing.T) {
 	s := newSim(2, 1)
 	s.run(3 * time.Second)
-	s.engines["e0"].late = true
+	s.engines["e0"].slow = true
 	s.named = 2
 	s.run(300 * time.Millisecond)
 	s.hosts[0].noStore, s.hosts[0].noPeers = true, true
-	// The engine is seen as new by the old holder's own orders only at the end.
+	// Only orders from here on count.
 	s.engines["e0"].host, s.engines["e0"].ordered = "", time.Time{}
 	for range 200 {
 		s.run(simTick)
-		// Every moment is one at which the cut holder might order again.
+		// The isolated holder may send another order in every step.
 		for _, j := range s.hosts[0].renewer.jobs {
-			j.again, j.loading, j.calling = time.Time{}, false, false
+			j.retryAt, j.loading, j.inFlight = time.Time{}, false, false
 		}
 		s.engines["e0"].pending = nil
 	}
@@ -34,12 +33,12 @@
 	assert.Equal(t, s.engines["e0"].host, "host-2")
 }
 
-// TestForeignOrdersKeepTheirTurn: a holder that stops says which engines it has
-// ordered when; the next one leaves those alone for a turn.
+// TestForeignOrdersKeepTheirTurn checks that a new holder waits one turn before it orders engines that
+// the previous one reported as ordered.
 func TestForeignOrdersKeepTheirTurn(t *testing.T) {
 	s := newSim(2, 2)
 	s.run(3 * time.Second)
-	s.engines["e0"].late = true
+	s.engines["e0"].slow = true
 	s.named = 2
 	s.run(300 * time.Millisecond)
 	s.hosts[0].noStore = true
@@ -48,8 +47,8 @@
 	assert.Equal(t, s.engines["e1"].version, uint64(2))
 }
 
-// TestStoppedIsSaidOfOneselfOnly: a host that was paused while it held the lease
-// hears first that another holds it now. It must not say that this one stopped.
+// TestStoppedIsSaidOfOneselfOnly checks that a paused host that has lost the lease does not report the
+// new holder as stopped.
 func TestStoppedIsSaidOfOneselfOnly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := New(Options{Host: "a", Term: 2 * time.Second, Turn: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3})
@@ -64,8 +63,7 @@
 	assert.Assert(t, !third.lease.released)
 }
 
-// TestManyEnginesLoadTogether: a fifth of many engines load at once, and at least
-// three of a few.
+// TestManyEnginesLoadTogether checks the number of concurrent loads in small and large fleets.
 func TestManyEnginesLoadTogether(t *testing.T) {
 	for _, c := range []struct{ engines, want int }{{2, 2}, {9, 3}, {40, 8}} {
 		s := newSim(1, c.engines)
@@ -83,9 +81,8 @@
 	}
 }
 
-// TestFrozenHolderHandsOverAsItWakes: the holder stands still in the middle of a
-// renewal, another host takes over and waits out a turn. As soon as the first
-// wakes and says that it stopped, the second goes on.
+// TestFrozenHolderHandsOverAsItWakes pauses the holder during a rollout. Its successor must continue as
+// soon as the resumed holder reports that it stopped.
 func TestFrozenHolderHandsOverAsItWakes(t *testing.T) {
 	s := newSim(3, 9)
 	s.run(3 * time.Second)
--- a/renewer/lease.go
+++ b/renewer/lease.go
@@ -5,144 +5,143 @@
 
 import "time"
 
-// Record is the lease as it lies in the store.
+// Record is the lease as stored.
 type Record struct {
 	Host  string `cbor:"1,keyasint"`
-	Nonce uint64 `cbor:"2,keyasint"` // Nonce tells one write of a host from another.
+	Nonce uint64 `cbor:"2,keyasint"` // Nonce distinguishes the writes of one host.
 }
 
-// Lease is the newest record with the offset after it.
+// Lease is the newest lease record with the offset after it.
 type Lease struct {
 	Record Record
 	End    int64
 }
 
-// lease is what a host knows of the lease.
+// lease is a host's local state of the lease.
 type lease struct {
 	known     bool
-	now       Lease
-	seen      time.Time // seen is when this host first saw the record.
-	released  bool      // released tells that its holder has stopped for good.
-	orderFrom time.Time // orderFrom is when a holder that released the lease could have ordered itself.
-
-	busy  bool      // busy tells that a call to the store is under way.
-	asked time.Time // asked is when the store was last asked.
-	sent  map[uint64]time.Time
-	until time.Time // until is when this host's own hold ends.
-	prior Lease     // prior is the record of the host before, if this one took over from it.
-	token uint64    // token grows with each host that takes over.
+	newest    Lease
+	firstSeen time.Time // firstSeen is when this host first read the newest record.
+	released  bool      // released is set when the holder reported that it stopped.
+	orderFrom time.Time // orderFrom is the earliest time of an order by the holder that released the lease.
+
+	inFlight  bool                 // inFlight is set during a call to the store.
+	lastCall  time.Time            // lastCall is when the last call to the store began.
+	sentAt    map[uint64]time.Time // sentAt is the time of each pending write, by nonce.
+	heldUntil time.Time            // heldUntil is when this host's own hold ends.
+	prior     Lease                // prior is the record of the previous holder, if this host took over from it.
+	token     uint64               // token is the fencing token; it grows with each change of holder.
 }
 
-// pauseAfterRead is the least time between two reads of the lease.
-const pauseAfterRead = 300 * time.Millisecond
+// minReadInterval is the minimum time between two reads of the lease.
+const minReadInterval = 300 * time.Millisecond
 
-func (r *Renewer) held(now time.Time) bool { return now.Before(r.lease.until) }
+func (r *Renewer) held(now time.Time) bool { return now.Before(r.lease.heldUntil) }
 
-// acquire returns the next call towards holding the lease.
+// acquire returns the next store call needed to obtain the lease.
 func (r *Renewer) acquire(now time.Time) []Command {
 	l := &r.lease
-	if l.busy {
+	if l.inFlight {
 		return nil
 	}
-	free := l.now.End == 0 || l.released || l.now.Record.Host == r.opts.Host ||
-		now.Sub(l.seen) > r.opts.Term+r.opts.Margin
+	free := l.newest.End == 0 || l.released || l.newest.Record.Host == r.opts.Host ||
+		now.Sub(l.firstSeen) > r.opts.Term+r.opts.Margin
 	if l.known && free {
-		return r.write(now)
+		return r.writeLease(now)
 	}
-	if now.Sub(l.asked) < pauseAfterRead {
+	if now.Sub(l.lastCall) < minReadInterval {
 		return nil
 	}
-	l.busy, l.asked = true, now
+	l.inFlight, l.lastCall = true, now
 	return []Command{ReadLease{}}
 }
 
-func (r *Renewer) write(now time.Time) []Command {
+func (r *Renewer) writeLease(now time.Time) []Command {
 	l := &r.lease
-	l.busy, l.asked = true, now
+	l.inFlight, l.lastCall = true, now
 	r.nonce++
-	l.sent[r.nonce] = now
-	return []Command{WriteLease{At: l.now.End, Record: Record{Host: r.opts.Host, Nonce: r.nonce}}}
+	l.sentAt[r.nonce] = now
+	return []Command{WriteLease{At: l.newest.End, Record: Record{Host: r.opts.Host, Nonce: r.nonce}}}
 }
 
-// renew keeps a hold while there is work left.
-func (r *Renewer) renew(now time.Time) []Command {
-	if r.lease.busy || r.lease.until.Sub(now) > r.opts.Term/2 {
+// renewLease extends the hold in the second half of its term.
+func (r *Renewer) renewLease(now time.Time) []Command {
+	if r.lease.inFlight || r.lease.heldUntil.Sub(now) > r.opts.Term/2 {
 		return nil
 	}
-	return r.write(now)
+	return r.writeLease(now)
 }
 
-// LeaseRead takes in an answer to ReadLease.
+// LeaseRead processes the result of ReadLease.
 func (r *Renewer) LeaseRead(now time.Time, got Lease, err error) {
 	l := &r.lease
-	l.busy = false
+	l.inFlight = false
 	if err != nil {
 		return
 	}
 	l.known = true
-	r.saw(now, got)
-	sent, mine := l.sent[got.Record.Nonce]
+	r.observeLease(now, got)
+	sent, mine := l.sentAt[got.Record.Nonce]
 	if mine && got.Record.Host == r.opts.Host {
-		r.hold(sent, got)
+		r.extendHold(sent, got)
 	}
 }
 
-// saw notes a record that is in force.
-func (r *Renewer) saw(now time.Time, got Lease) {
+// observeLease stores a lease record that is newer than the one known.
+func (r *Renewer) observeLease(now time.Time, got Lease) {
 	l := &r.lease
-	if got.End <= l.now.End {
+	if got.End <= l.newest.End {
 		return
 	}
-	l.now, l.seen, l.released = got, now, false
+	l.newest, l.firstSeen, l.released = got, now, false
 }
 
-// hold begins or prolongs this host's hold with a record that it sent at a time.
-func (r *Renewer) hold(sent time.Time, got Lease) {
+// extendHold begins or extends this host's hold with a record that it sent at the given time.
+func (r *Renewer) extendHold(sent time.Time, got Lease) {
 	l := &r.lease
-	if l.token == 0 || l.now.Record.Host != r.opts.Host {
+	if l.token == 0 || l.newest.Record.Host != r.opts.Host {
 		r.takeOver()
 		l.token = uint64(got.End)
 	}
-	l.now, l.known, l.released = got, true, false
-	l.until = sent.Add(r.opts.Term - r.opts.Margin)
-	clear(l.sent)
+	l.newest, l.known, l.released = got, true, false
+	l.heldUntil = sent.Add(r.opts.Term - r.opts.Margin)
+	clear(l.sentAt)
 }
 
-// takeOver works out from when this host may order: a turn after the one before
-// can have given its last order. A holder that released the lease has told of all
-// orders within a turn, and of what it had to wait for itself. A process that finds its own host's hold does not know whom
-// that hold had followed, and waits a turn from its start.
+// takeOver sets the earliest time for an order of this host: one turn after the last possible order
+// of the previous holder. If that holder released the lease, its status listed its recent orders and
+// its own remaining wait. A process that finds its own host's record does not know the holder before
+// it, and waits one turn from its start.
 func (r *Renewer) takeOver() {
 	l := &r.lease
 	switch {
-	case l.now.End == 0:
+	case l.newest.End == 0:
 		return
 	case l.released:
 		r.notBefore = l.orderFrom
 		return
-	case l.now.Record.Host == r.opts.Host:
+	case l.newest.Record.Host == r.opts.Host:
 		r.notBefore = r.started.Add(r.opts.Turn + r.opts.Margin)
 		return
 	}
-	l.prior = l.now
-	r.notBefore = l.seen.Add(r.opts.Term + r.opts.Turn + r.opts.Margin)
+	l.prior = l.newest
+	r.notBefore = l.firstSeen.Add(r.opts.Term + r.opts.Turn + r.opts.Margin)
 }
 
-// LeaseWritten takes in an answer to WriteLease. conflict says that another
-// record lies there; other errors say that the write may have been carried out,
-// or may still be.
+// LeaseWritten processes the result of WriteLease. conflict reports that another record was written
+// first; after any other error the write may have succeeded, or may still succeed.
 func (r *Renewer) LeaseWritten(now time.Time, c WriteLease, conflict bool, err error) {
 	l := &r.lease
-	l.busy = false
+	l.inFlight = false
 	if conflict || err != nil {
-		l.known = false // what lies there must be read
+		l.known = false // the current record must be read again
 		return
 	}
-	sent, ok := l.sent[c.Record.Nonce]
+	sent, ok := l.sentAt[c.Record.Nonce]
 	if !ok {
 		return
 	}
 	got := Lease{Record: c.Record, End: c.At + 1}
-	r.hold(sent, got)
-	l.seen = now
+	r.extendHold(sent, got)
+	l.firstSeen = now
 }
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -18,7 +18,7 @@
 
 func init() { seeder.Fix() }
 
-// sim is several hosts, a store with one lease, and engines, in simulated time.
+// sim simulates hosts, a store with one lease, and engines.
 type sim struct {
 	now     time.Time
 	hosts   []*simHost
@@ -30,14 +30,14 @@
 }
 
 type simHost struct {
-	name    string
-	renewer *Renewer
-	starts  uint64
-	down    bool // down tells that the process is dead.
-	paused  bool
-	noStore bool
-	loses   bool // loses tells that answers of the store are lost.
-	noPeers bool
+	name         string
+	renewer      *Renewer
+	starts       uint64
+	down         bool // down is set while the process is not running.
+	paused       bool
+	noStore      bool
+	losesAnswers bool // losesAnswers is set while answers of the store are lost.
+	noPeers      bool
 }
 
 type lateWrite struct {
@@ -49,7 +49,7 @@
 	version uint64
 	loading uint64
 	until   time.Time
-	late    bool // late tells that orders get no answer and are carried out seconds later.
+	slow    bool // slow is set while orders get no answer and are executed seconds later.
 	pending []Order
 	due     time.Time
 	host    string
@@ -93,7 +93,7 @@
 
 func (s *sim) run(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simTick) {
-		s.world()
+		s.advance()
 		for i, h := range s.hosts {
 			if h.down || h.paused {
 				continue
@@ -104,16 +104,16 @@
 					place++
 				}
 			}
-			s.carry(h, h.renewer.Step(s.now, Input{View: s.view(), Place: place, Busy: func(string) int { return 0 }}))
+			s.execute(h, h.renewer.Step(s.now, Input{View: s.view(), Place: place, Busy: func(string) int { return 0 }}))
 			if st := h.renewer.Status(s.now); st != nil {
-				s.tell(h, st)
+				s.broadcast(h, st)
 			}
 		}
 	}
 }
 
-// world lets late writes land and loads end.
-func (s *sim) world() {
+// advance applies delayed writes and completes loads.
+func (s *sim) advance() {
 	for _, l := range s.late {
 		if !s.now.Before(l.at) && l.write.At == s.lease.End {
 			s.lease = Lease{Record: l.write.Record, End: l.write.At + 1}
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *sim) tell(from *simHost, st *Status) {
+func (s *sim) broadcast(from *simHost, st *Status) {
 	for _, h := range s.hosts {
 		if h != from && !h.down && !h.paused && !h.noPeers && !from.noPeers {
 			h.renewer.Heard(s.now, st)
@@ -141,11 +141,11 @@
 	}
 }
 
-func (s *sim) carry(h *simHost, commands []Command) {
+func (s *sim) execute(h *simHost, commands []Command) {
 	for _, c := range commands {
 		switch c := c.(type) {
 		case ReadLease:
-			if h.noStore || h.loses {
+			if h.noStore || h.losesAnswers {
 				h.renewer.LeaseRead(s.now, Lease{}, errSim)
 				continue
 			}
@@ -156,7 +156,7 @@
 			s.order(h, c)
 		case Ask:
 			e := s.engines[c.Upstream.ID]
-			s.carry(h, h.renewer.Told(s.now, c, e.loading > 0, e.version, nil))
+			s.execute(h, h.renewer.Told(s.now, c, e.loading > 0, e.version, nil))
 		}
 	}
 }
@@ -165,7 +165,7 @@
 	switch {
 	case h.noStore:
 		h.renewer.LeaseWritten(s.now, c, false, errSim)
-	case h.loses:
+	case h.losesAnswers:
 		s.late = append(s.late, lateWrite{at: s.now.Add(3 * time.Second), write: c})
 		h.renewer.LeaseWritten(s.now, c, false, errSim)
 	case c.At != s.lease.End:
@@ -188,11 +188,11 @@
 	}
 	e.host, e.ordered, e.token = h.name, s.now, o.Token
 	switch {
-	case e.late:
+	case e.slow:
 		e.pending, e.due = append(e.pending, o), s.now.Add(4*time.Second)
 		h.renewer.Ordered(s.now, o, OrderUnknown)
 	case e.version >= o.Version:
-		s.carry(h, h.renewer.Ordered(s.now, o, OrderHolds))
+		s.execute(h, h.renewer.Ordered(s.now, o, OrderHolds))
 	case e.loading > 0:
 		h.renewer.Ordered(s.now, o, OrderAccepted)
 	default:
@@ -220,29 +220,29 @@
 	case "noStore":
 		h.noStore = true
 	case "store":
-		h.noStore, h.loses = false, false
+		h.noStore, h.losesAnswers = false, false
 	case "loses":
-		h.loses = true
+		h.losesAnswers = true
 	case "noPeers":
 		h.noPeers = true
 	case "peers":
 		h.noPeers = false
 	case "late":
-		e.late = true
+		e.slow = true
 	case "prompt":
-		e.late = false
+		e.slow = false
 	}
 }
 
-// settle mends all and lets the hosts bring all engines to the newest version.
-func (s *sim) settle() {
+// recoverAll ends all faults and runs until every engine should have the newest version.
+func (s *sim) recoverAll() {
 	for _, h := range s.hosts {
 		for _, do := range []string{"start", "resume", "store", "peers"} {
 			s.act(do, h, nil)
 		}
 	}
 	for _, e := range s.engines {
-		e.late = false
+		e.slow = false
 	}
 	s.run(30 * time.Second)
 	for id, e := range s.engines {
@@ -263,16 +263,15 @@
 			s.act(rapid.SampledFrom(simActions).Draw(t, "do"), h, e)
 			s.run(rapid.SampledFrom([]time.Duration{0, 100 * time.Millisecond, 700 * time.Millisecond, 2200 * time.Millisecond, 5 * time.Second}).Draw(t, "after"))
 		}
-		s.settle()
+		s.recoverAll()
 		if len(s.faults) > 0 {
 			t.Fatalf("broken: %q", s.faults)
 		}
 	})
 }
 
-// TestHolderCutFromStoreHandsOver: the holder loses the store in the middle of a
-// renewal. Another host goes on with the engines that were not ordered yet as
-// soon as the first says that it stopped, without waiting out a turn.
+// TestHolderCutFromStoreHandsOver cuts the holder off from the store during a rollout. Its successor
+// must order the remaining engines as soon as the holder reports that it stopped, without waiting a turn.
 func TestHolderCutFromStoreHandsOver(t *testing.T) {
 	s := newSim(3, 9)
 	s.run(3 * time.Second)
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -12,35 +12,34 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// Options set up a Renewer.
+// Options configure a Renewer.
 type Options struct {
 	Host   string
 	Term   time.Duration // Term is how long a hold lasts without renewal.
-	Turn   time.Duration // Turn is the least time between orders of two hosts to one engine.
-	Margin time.Duration // Margin covers late timers and clocks that run at different rates.
-	AtOnce int           // AtOnce is the least number of engines that load at the same time.
-	Share  float64       // Share is the part of all engines that may load at the same time, where that is more.
-	Seed   uint64        // Seed begins the numbers that tell writes apart; it must differ between starts.
+	Turn   time.Duration // Turn is the minimum time between orders of two hosts to one engine.
+	Margin time.Duration // Margin covers timer delays and clock drift.
+	AtOnce int           // AtOnce is the minimum number of engines that may load concurrently.
+	Share  float64       // Share is the fraction of all engines that may load concurrently, if that is more.
+	Seed   uint64        // Seed is the start of the write nonces; it must differ between process starts.
 }
 
-// Figures of a renewal.
 const (
-	// earlyReaders is the number of hosts, by place, that read the lease before there is work. If
-	// all did, 985 hosts that start would make as many calls to the store.
-	earlyReaders = 4
-	placeDelay   = 700 * time.Millisecond  // placeDelay is what each host waits for the one before it to begin.
-	firstAsk     = 500 * time.Millisecond  // firstAsk is after an order; loads take 0.9 s and more.
-	askAgain     = 150 * time.Millisecond  // askAgain is the interval of questions while an engine loads.
-	orderAgain   = 2500 * time.Millisecond // orderAgain is after an order of which nothing was heard. It may yet be carried out, which does no harm.
-	refuseAgain  = 300 * time.Millisecond  // refuseAgain is after an order that was refused.
-	holderLife   = 600 * time.Millisecond  // holderLife is the silence of a holder after which others look at the lease; it speaks every 100 ms.
-	statusLife   = time.Second             // statusLife is how long the holder's word on engines that load or are next counts.
+	// maxIdleReaders is the number of hosts, by place, that read the lease before there is work. It
+	// bounds the load on the store when a large fleet starts.
+	maxIdleReaders    = 4
+	placeDelay        = 700 * time.Millisecond  // placeDelay staggers the attempts of hosts to acquire the lease.
+	initialPollDelay  = 500 * time.Millisecond  // initialPollDelay is the time from an order to the first poll.
+	pollInterval      = 150 * time.Millisecond  // pollInterval is the time between polls of a loading engine.
+	orderRetryDelay   = 2500 * time.Millisecond // orderRetryDelay applies to an unanswered order, which may still be executed.
+	refusalRetryDelay = 300 * time.Millisecond  // refusalRetryDelay applies to a refused order.
+	holderTimeout     = 600 * time.Millisecond  // holderTimeout is the silence after which a holder is assumed to be gone.
+	statusTTL         = time.Second             // statusTTL is how long the engine lists in a holder's status are valid.
 )
 
-// Command is something that the host is to do.
+// Command is an action for the caller to execute.
 type Command interface{ command() }
 
-// ReadLease asks the store for the lease.
+// ReadLease reads the lease from the store.
 type ReadLease struct{}
 
 // WriteLease writes the lease if its newest record ends at At.
@@ -54,29 +53,29 @@
 	Upstream follower.Upstream
 	Model    string
 	Version  uint64
-	Token    uint64 // Token grows with each host that takes over.
+	Token    uint64 // Token is the fencing token; it grows with each change of holder.
 }
 
-// Ask asks an engine for the weight versions that it has.
+// Ask queries an engine for its weight versions.
 type Ask struct {
 	Upstream follower.Upstream
 	Model    string
 }
 
-// Renewed says that an engine has a version.
+// Renewed reports that an engine has loaded a version.
 type Renewed struct {
 	ID      string `cbor:"1,keyasint"`
 	Model   string `cbor:"2,keyasint"`
 	Version uint64 `cbor:"3,keyasint"`
-	Born    int64  `cbor:"4,keyasint,omitempty"` // Born tells which start of the engine has it.
+	Born    int64  `cbor:"4,keyasint,omitempty"` // Born identifies the instance of the engine.
 }
 
-// Doubted says that engines have ended as they loaded a version that none has taken.
+// Doubted reports that engines have ended while loading a version that none has loaded yet.
 type Doubted struct {
 	Model   string
 	Version uint64
 	Starts  []string
-	Pause   time.Duration // Pause is how long no engine is ordered.
+	Pause   time.Duration // Pause is how long no engine is ordered to load it.
 }
 
 func (ReadLease) command()  {}
@@ -86,172 +85,174 @@
 func (Renewed) command()    {}
 func (Doubted) command()    {}
 
-// Status is what a host tells the others.
+// Status is the state that a host sends to the others.
 type Status struct {
-	Lease   Lease                    `cbor:"1,keyasint"`           // Lease is the newest record that the host knows.
-	Holding bool                     `cbor:"2,keyasint,omitempty"` // Holding tells that the host gives orders.
-	Stopped bool                     `cbor:"3,keyasint,omitempty"` // Stopped tells that Lease is the host's own and that it gives no more orders under it.
-	Ordered map[string]time.Duration `cbor:"4,keyasint,omitempty"` // Ordered is how long ago engines were ordered last.
-	Wait    time.Duration            `cbor:"7,keyasint,omitempty"` // Wait is how long the host itself still had to wait before its first order.
+	Lease   Lease                    `cbor:"1,keyasint"`           // Lease is the newest record known to the host.
+	Holding bool                     `cbor:"2,keyasint,omitempty"` // Holding reports whether the host holds the lease.
+	Stopped bool                     `cbor:"3,keyasint,omitempty"` // Stopped reports that Lease is the host's own and has been given up.
+	Ordered map[string]time.Duration `cbor:"4,keyasint,omitempty"` // Ordered is the time since the last order to each engine.
+	Wait    time.Duration            `cbor:"7,keyasint,omitempty"` // Wait is the remaining delay before the host's own first order.
 	Loading []string                 `cbor:"5,keyasint,omitempty"` // Loading are engines that were ordered to load.
-	Next    []string                 `cbor:"8,keyasint,omitempty"` // Next are those that will be ordered next.
+	Next    []string                 `cbor:"8,keyasint,omitempty"` // Next are engines that will be ordered soon.
 	Renewed []Renewed                `cbor:"6,keyasint,omitempty"`
-	Doubts  []Doubt                  `cbor:"9,keyasint,omitempty"` // Doubts are versions under which engines have ended.
+	Doubts  []Doubt                  `cbor:"9,keyasint,omitempty"` // Doubts are versions whose load has ended engines.
 }
 
-// Input is what a step depends on.
+// Input is the external state that Step depends on.
 type Input struct {
 	View  *follower.View
-	Place int                    // Place is this host's place among the live ones.
-	Busy  func(start string) int // Busy is the work under way at a start of an engine.
+	Place int                    // Place is this host's index among the live hosts.
+	Busy  func(start string) int // Busy returns the number of requests at an engine instance.
 }
 
-// job is an engine that is to be renewed.
+// job is the state of an engine that is to load a version.
 type job struct {
-	born    int64 // born tells which start of the engine the job is for.
-	model   string
-	version uint64
-	ordered time.Time // ordered is when the last order was sent.
-	again   time.Time // again is when another may be sent.
-	loading bool      // loading tells that an order was accepted, or may have been.
-	since   time.Time // since is when the first order was sent of which nothing was shown yet.
-	taken   bool      // taken tells that the engine has not shown yet what became of the last order.
-	calling bool      // calling tells that a call is under way.
-	asked   time.Time
+	born             int64 // born identifies the instance of the engine.
+	model            string
+	version          uint64
+	orderedAt        time.Time // orderedAt is when the last order was sent.
+	retryAt          time.Time // retryAt is the earliest time of the next order.
+	loading          bool      // loading is set once an order was accepted, or may have been.
+	unconfirmedSince time.Time // unconfirmedSince is when the first order without a known result was sent.
+	unconfirmed      bool      // unconfirmed is set while the result of the last order is unknown.
+	inFlight         bool      // inFlight is set during a call to the engine.
+	polledAt         time.Time // polledAt is when the last call to the engine began.
 }
 
-// Renewer is one host's part in renewals. It is not safe for concurrent use.
+// Renewer is one host's part in a rollout. It is not safe for concurrent use.
 type Renewer struct {
-	opts      Options
-	lease     lease
-	nonce     uint64
-	settled   *follower.View       // settled is the last view in which no engine had old weights.
-	scanned   *follower.View       // scanned is the last view of which all engines were looked at.
-	need      []follower.Upstream  // need are those that had old weights then.
-	needed    time.Time            // needed is since when engines have old weights.
-	notBefore time.Time            // notBefore is when this host may give its first order.
-	started   time.Time            // started is when this process took its first step.
-	foreign   map[string]time.Time // foreign is when another host ordered an engine last.
-	given     map[string]time.Time // given is when this host ordered an engine last.
-	jobs      map[string]*job
-	next      []string // next are engines that will be ordered soon.
-	told      []Renewed
-	wasHeld   bool
-	holder    time.Time            // holder is when another host last said that it holds the lease.
-	loading   map[string]time.Time // loading is until when the holder's word on engines that load counts.
-	soon      map[string]time.Time // soon is the same for those that are next.
-	alerts    []Command            // alerts are given out with the next step.
-	doubts    map[string]*doubt    // doubts has, by model, the named version if engines have ended under it.
+	opts          Options
+	lease         lease
+	nonce         uint64
+	upToDate      *follower.View       // upToDate is the last view in which no engine had outdated weights.
+	scanned       *follower.View       // scanned is the last view whose engines were all examined.
+	lagging       []follower.Upstream  // lagging are the engines with outdated weights in scanned.
+	laggingSince  time.Time            // laggingSince is when engines began to have outdated weights.
+	notBefore     time.Time            // notBefore is the earliest time of this host's first order.
+	started       time.Time            // started is the time of the first step.
+	othersOrders  map[string]time.Time // othersOrders is the time of the last order of another host, by engine.
+	ownOrders     map[string]time.Time // ownOrders is the time of the last order of this host, by engine.
+	jobs          map[string]*job
+	next          []string             // next are engines that will be ordered soon.
+	completed     []Renewed            // completed are loads not yet reported in a status.
+	wasHeld       bool                 // wasHeld is set until the end of a hold has been reported.
+	holderSeen    time.Time            // holderSeen is when another host last reported that it holds the lease.
+	othersLoading map[string]time.Time // othersLoading is the expiry of each engine that the holder reported as loading.
+	othersNext    map[string]time.Time // othersNext is the same for engines that the holder will order soon.
+	events        []Command            // events are returned by the next step.
+	doubts        map[string]*doubt    // doubts is by model; it has only versions whose load has ended engines.
 }
 
-// New returns a Renewer that knows nothing of the lease.
+// New returns a Renewer without knowledge of the lease.
 func New(opts Options) *Renewer {
 	return &Renewer{
-		opts:    opts,
-		nonce:   opts.Seed,
-		lease:   lease{sent: make(map[uint64]time.Time)},
-		foreign: make(map[string]time.Time),
-		given:   make(map[string]time.Time),
-		jobs:    make(map[string]*job),
-		loading: make(map[string]time.Time),
-		soon:    make(map[string]time.Time),
-		doubts:  make(map[string]*doubt),
+		opts:          opts,
+		nonce:         opts.Seed,
+		lease:         lease{sentAt: make(map[uint64]time.Time)},
+		othersOrders:  make(map[string]time.Time),
+		ownOrders:     make(map[string]time.Time),
+		jobs:          make(map[string]*job),
+		othersLoading: make(map[string]time.Time),
+		othersNext:    make(map[string]time.Time),
+		doubts:        make(map[string]*doubt),
 	}
 }
 
-// Step returns what is to be done now.
+// Step returns the commands to execute now.
 func (r *Renewer) Step(now time.Time, in Input) []Command {
 	if r.started.IsZero() {
 		r.started = now
 	}
-	need := r.outdated(now, in.View)
+	lagging := r.outdated(now, in.View)
 	r.next = nil
-	if len(need) == 0 {
-		r.needed = time.Time{}
+	if len(lagging) == 0 {
+		r.laggingSince = time.Time{}
 		clear(r.jobs)
-		if in.Place < earlyReaders && !r.lease.known && !r.lease.busy && now.Sub(r.lease.asked) > r.opts.Term {
-			// Seen early, an old record is known to have lapsed when work comes.
-			r.lease.busy, r.lease.asked = true, now
+		if in.Place < maxIdleReaders && !r.lease.known && !r.lease.inFlight && now.Sub(r.lease.lastCall) > r.opts.Term {
+			// An expired record must have been seen for a whole term; reading it early saves that wait.
+			r.lease.inFlight, r.lease.lastCall = true, now
 			return []Command{ReadLease{}}
 		}
 		return nil
 	}
-	if r.needed.IsZero() {
-		r.needed = now
+	if r.laggingSince.IsZero() {
+		r.laggingSince = now
 	}
 	if !r.held(now) {
-		if now.Sub(r.needed) < time.Duration(in.Place)*placeDelay || now.Sub(r.holder) < holderLife {
+		if now.Sub(r.laggingSince) < time.Duration(in.Place)*placeDelay || now.Sub(r.holderSeen) < holderTimeout {
 			return nil
 		}
 		return r.acquire(now)
 	}
 	r.wasHeld = true
-	out := append(r.renew(now), r.work(now, in, need)...)
-	out, r.alerts = append(out, r.alerts...), nil
+	out := append(r.renewLease(now), r.work(now, in, lagging)...)
+	out, r.events = append(out, r.events...), nil
 	return out
 }
 
-// outdated returns the engines that take work with old weights, and forgets jobs
-// of all others.
+// outdated returns the ready engines with outdated weights, and removes the jobs of all others.
 func (r *Renewer) outdated(now time.Time, view *follower.View) []follower.Upstream {
-	if view == r.settled || r.staysSettled(view) {
-		r.settled = view
+	if view == r.upToDate || r.staysUpToDate(view) {
+		r.upToDate = view
 		return nil
 	}
 	if view == r.scanned && len(r.doubts) == 0 {
-		return r.need
+		return r.lagging
 	}
 	r.scanned = view
-	var need []follower.Upstream
-	there, behind := make(map[string]bool), make(map[string]bool)
+	var lagging []follower.Upstream
+	present, behind := make(map[string]bool), make(map[string]bool)
 	for u := range view.Upstreams.All() {
-		there[u.ID] = true
+		present[u.ID] = true
 		for model, has := range u.Weights {
-			r.proved(model, has)
+			r.clearDoubt(model, has)
 			if u.Standing == follower.StandingReady && has < view.Named[model].Version && !behind[u.ID] {
-				need = append(need, *u)
+				lagging = append(lagging, *u)
 				behind[u.ID] = true
-				r.job(now, u, model, view.Named[model].Version)
+				r.updateJob(now, u, model, view.Named[model].Version)
 			}
 		}
 	}
 	for id, j := range r.jobs {
-		if !there[id] {
-			r.lost(now, id, j) // one that ends comes back under another ID, or not at all
+		if !present[id] {
+			r.engineEnded(now, id, j) // a restarted engine has another ID
 		}
 		if !behind[id] {
 			delete(r.jobs, id)
 		}
 	}
-	if len(need) == 0 {
-		r.settled = view
+	if len(lagging) == 0 {
+		r.upToDate = view
 	}
-	r.need = need
-	return need
+	r.lagging = lagging
+	return lagging
 }
 
-// staysSettled tells that no engine has old weights, as was so before: only those that have
-// changed since are looked at.
-func (r *Renewer) staysSettled(view *follower.View) bool {
-	if r.settled == nil || !maps.EqualFunc(r.settled.Named, view.Named, func(a, b follower.Named) bool { return a.Version == b.Version }) {
+// staysUpToDate reports whether no engine has outdated weights, by examining only the engines that
+// changed since the last such view.
+func (r *Renewer) staysUpToDate(view *follower.View) bool {
+	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Named, view.Named, func(a, b follower.Named) bool {
+		return a.Version == b.Version
+	}) {
 		return false
 	}
-	put, _ := view.Upstreams.Since(r.settled.Upstreams)
+	put, _ := view.Upstreams.Since(r.upToDate.Upstreams)
 	for _, u := range put {
 		for model, has := range u.Weights {
 			if has < view.Named[model].Version {
 				return false
 			}
-			r.proved(model, has)
+			r.clearDoubt(model, has)
 		}
 	}
 	return true
 }
 
-func (r *Renewer) job(now time.Time, u *follower.Upstream, model string, version uint64) {
+// updateJob creates the job of an engine, or updates it to a newly named version.
+func (r *Renewer) updateJob(now time.Time, u *follower.Upstream, model string, version uint64) {
 	j := r.jobs[u.ID]
 	if j != nil && j.born != u.Born {
-		r.lost(now, u.ID, j)
+		r.engineEnded(now, u.ID, j)
 	}
 	if j == nil || j.born != u.Born {
 		j = &job{born: u.Born}
@@ -259,38 +260,38 @@
 	}
 	if j.version != version || j.model != model {
 		j.model, j.version = model, version
-		j.again, j.taken = time.Time{}, false
+		j.retryAt, j.unconfirmed = time.Time{}, false
 	}
 }
 
-// work gives orders and asks how they went.
-func (r *Renewer) work(now time.Time, in Input, need []follower.Upstream) []Command {
-	slices.SortStableFunc(need, func(a, b follower.Upstream) int {
+// work returns the orders and polls that are due.
+func (r *Renewer) work(now time.Time, in Input, lagging []follower.Upstream) []Command {
+	slices.SortStableFunc(lagging, func(a, b follower.Upstream) int {
 		return cmp.Or(cmp.Compare(in.Busy(a.Start()), in.Busy(b.Start())), cmp.Compare(a.ID, b.ID))
 	})
-	atOnce := max(r.opts.AtOnce, int(r.opts.Share*float64(engines(in.View))))
+	atOnce := max(r.opts.AtOnce, int(r.opts.Share*float64(countEngines(in.View))))
 	var out []Command
-	loading, under := 0, make(map[string]int) // under counts by model those that may be loading
-	for _, u := range need {
+	loading, loadingOf := 0, make(map[string]int) // loadingOf counts engines that may be loading, by model
+	for _, u := range lagging {
 		j := r.jobs[u.ID]
-		if j.trying(now) {
-			under[j.model]++
+		if j.mayBeLoading(now) {
+			loadingOf[j.model]++
 		}
 		if !j.loading {
 			continue
 		}
 		loading++
-		if !j.calling && now.Sub(j.ordered) > firstAsk && now.Sub(j.asked) > askAgain {
-			j.calling, j.asked = true, now
+		if !j.inFlight && now.Sub(j.orderedAt) > initialPollDelay && now.Sub(j.polledAt) > pollInterval {
+			j.inFlight, j.polledAt = true, now
 			out = append(out, Ask{Upstream: u, Model: j.model})
 		}
-		if now.After(j.again) {
+		if now.After(j.retryAt) {
 			j.loading = false
 		}
 	}
-	for _, u := range need {
+	for _, u := range lagging {
 		j := r.jobs[u.ID]
-		if j.loading || j.calling {
+		if j.loading || j.inFlight {
 			continue
 		}
 		if loading >= atOnce {
@@ -299,28 +300,28 @@
 			}
 			continue
 		}
-		others := under[j.model]
-		if j.trying(now) {
-			others-- // it is ordered again
+		others := loadingOf[j.model]
+		if j.mayBeLoading(now) {
+			others-- // the engine itself is ordered again
 		}
-		if !r.mayOrder(now, u.ID, j) || !r.mayLoad(now, j.model, j.version, others) {
+		if !r.orderAllowed(now, u.ID, j) || !r.loadAllowed(now, j.model, j.version, others) {
 			continue
 		}
 		loading++
-		if !j.taken {
-			j.taken, j.since = true, now
-			under[j.model]++
+		if !j.unconfirmed {
+			j.unconfirmed, j.unconfirmedSince = true, now
+			loadingOf[j.model]++
 		}
-		j.loading, j.calling, j.ordered, j.asked = true, true, now, now
-		j.again = now.Add(orderAgain)
-		r.given[u.ID] = now
+		j.loading, j.inFlight, j.orderedAt, j.polledAt = true, true, now, now
+		j.retryAt = now.Add(orderRetryDelay)
+		r.ownOrders[u.ID] = now
 		out = append(out, Order{Upstream: u, Model: j.model, Version: j.version, Token: r.lease.token})
 	}
 	return out
 }
 
-// engines counts the upstreams that have weights.
-func engines(view *follower.View) int {
+// countEngines returns the number of upstreams with weights.
+func countEngines(view *follower.View) int {
 	n := 0
 	for u := range view.Upstreams.All() {
 		if len(u.Weights) > 0 {
@@ -330,58 +331,59 @@
 	return n
 }
 
-func (r *Renewer) mayOrder(now time.Time, id string, j *job) bool {
-	if now.Before(r.notBefore) || now.Before(j.again) {
+// orderAllowed reports whether the engine may be ordered now.
+func (r *Renewer) orderAllowed(now time.Time, id string, j *job) bool {
+	if now.Before(r.notBefore) || now.Before(j.retryAt) {
 		return false
 	}
-	last, ok := r.foreign[id]
+	last, ok := r.othersOrders[id]
 	return !ok || now.Sub(last) > r.opts.Turn+r.opts.Margin
 }
 
-// OrderResult says how an order was taken.
+// OrderResult is the outcome of an order.
 type OrderResult string
 
 const (
-	OrderAccepted OrderResult = "Accepted" // OrderAccepted says that it, or another order, is being carried out.
-	OrderHolds    OrderResult = "Holds"    // OrderHolds says that the engine has the version already.
+	OrderAccepted OrderResult = "Accepted" // OrderAccepted means that this or another order is being executed.
+	OrderHolds    OrderResult = "Holds"    // OrderHolds means that the engine already has the version.
 	OrderRefused  OrderResult = "Refused"
-	OrderUnknown  OrderResult = "Unknown" // OrderUnknown says that no answer came.
+	OrderUnknown  OrderResult = "Unknown" // OrderUnknown means that no answer was received.
 )
 
-// Ordered takes in the answer to an order.
+// Ordered processes the answer to an order.
 func (r *Renewer) Ordered(now time.Time, o Order, result OrderResult) []Command {
 	j := r.jobs[o.Upstream.ID]
 	if j == nil || j.born != o.Upstream.Born {
-		return nil // an engine that was started again knows nothing of the order
+		return nil // the engine has restarted since the order
 	}
-	j.calling = false
+	j.inFlight = false
 	switch result {
 	case OrderHolds:
 		if j.version == o.Version {
 			return r.renewed(&o.Upstream, o.Model, o.Version)
 		}
-		j.loading, j.taken, j.again = false, false, now
+		j.loading, j.unconfirmed, j.retryAt = false, false, now
 	case OrderRefused:
-		j.loading, j.taken = false, false
-		j.again = now.Add(refuseAgain)
+		j.loading, j.unconfirmed = false, false
+		j.retryAt = now.Add(refusalRetryDelay)
 	}
 	return nil
 }
 
-// Told takes in an engine's answer to a question.
+// Told processes an engine's answer to Ask.
 func (r *Renewer) Told(now time.Time, a Ask, busy bool, version uint64, err error) []Command {
 	j := r.jobs[a.Upstream.ID]
 	if j == nil || j.born != a.Upstream.Born {
 		return nil
 	}
-	j.calling = false
+	j.inFlight = false
 	switch {
 	case err != nil:
 		return nil
-	case version > 0 && version < j.version && !busy && now.Sub(j.ordered) > time.Second:
-		j.loading, j.taken = false, false // an older order was carried out, or this one was lost
+	case version > 0 && version < j.version && !busy && now.Sub(j.orderedAt) > time.Second:
+		j.loading, j.unconfirmed = false, false // an older order was executed, or this one was lost
 	case busy:
-		j.again = now.Add(orderAgain)
+		j.retryAt = now.Add(orderRetryDelay)
 	}
 	if version == 0 {
 		return nil
@@ -390,8 +392,8 @@
 }
 
 func (r *Renewer) renewed(u *follower.Upstream, model string, version uint64) []Command {
-	r.proved(model, version)
+	r.clearDoubt(model, version)
 	done := Renewed{ID: u.ID, Born: u.Born, Model: model, Version: version}
-	r.told = append(r.told, done)
+	r.completed = append(r.completed, done)
 	return []Command{done}
 }
--- a/renewer/status.go
+++ b/renewer/status.go
@@ -5,16 +5,16 @@
 
 import "time"
 
-// Status returns what the other hosts should know; nil if there is nothing.
+// Status returns what the other hosts need to know, or nil if there is nothing to report.
 func (r *Renewer) Status(now time.Time) *Status {
 	holding := r.held(now)
-	if !holding && !r.wasHeld && len(r.told) == 0 {
+	if !holding && !r.wasHeld && len(r.completed) == 0 {
 		return nil
 	}
-	s := &Status{Lease: r.lease.now, Holding: holding, Renewed: r.told}
-	r.told = nil
+	s := &Status{Lease: r.lease.newest, Holding: holding, Renewed: r.completed}
+	r.completed = nil
 	if holding || r.wasHeld {
-		s.Ordered = r.recent(now)
+		s.Ordered = r.recentOrders(now)
 		s.Wait = max(0, r.notBefore.Sub(now))
 		for id, j := range r.jobs {
 			if j.loading {
@@ -22,27 +22,25 @@
 			}
 		}
 		s.Next = append(s.Next, r.next...)
-		s.Doubts = r.doubtsNow(now)
+		s.Doubts = r.doubtList(now)
 	}
 	if !holding && r.wasHeld {
-		// The hold has ended and nothing is sent under it any more: another host
-		// need not wait for it.
-		s.Stopped = r.lease.now.Record.Host == r.opts.Host
+		// No more orders are sent under this hold, so the next holder need not wait for its term to end.
+		s.Stopped = r.lease.newest.Record.Host == r.opts.Host
 		r.wasHeld = false
 		if s.Stopped {
 			r.lease.token = 0
-			clear(r.lease.sent) // a write that lands from here on gives no hold
+			clear(r.lease.sentAt) // a write that succeeds later must not grant a hold
 		}
 	}
 	return s
 }
 
-// recent returns how long ago engines were ordered within a turn, by whichever host.
-// What others told of is passed on: who hears only the last of several holders must
-// keep the turns of those before it as well.
-func (r *Renewer) recent(now time.Time) map[string]time.Duration {
+// recentOrders returns, for each engine that any host ordered within the last turn, how long ago
+// that was. Orders reported by other hosts are included, so that they survive several handovers.
+func (r *Renewer) recentOrders(now time.Time) map[string]time.Duration {
 	out := make(map[string]time.Duration)
-	for _, orders := range []map[string]time.Time{r.given, r.foreign} {
+	for _, orders := range []map[string]time.Time{r.ownOrders, r.othersOrders} {
 		for id, at := range orders {
 			age := now.Sub(at)
 			if age > r.opts.Turn+r.opts.Margin {
@@ -57,53 +55,52 @@
 	return out
 }
 
-// Heard takes in what another host says.
+// Heard processes the status of another host.
 func (r *Renewer) Heard(now time.Time, s *Status) {
-	r.saw(now, s.Lease)
-	r.heardDoubts(now, s.Doubts)
+	r.observeLease(now, s.Lease)
+	r.mergeDoubts(now, s.Doubts)
 	if s.Holding {
-		r.holder = now
+		r.holderSeen = now
 	}
 	for id, age := range s.Ordered {
-		if at := now.Add(-age); at.After(r.foreign[id]) {
-			r.foreign[id] = at
+		if at := now.Add(-age); at.After(r.othersOrders[id]) {
+			r.othersOrders[id] = at
 		}
 	}
 	if s.Holding || s.Stopped {
-		noteAll(r.loading, s.Loading, now.Add(statusLife))
-		noteAll(r.soon, s.Next, now.Add(statusLife))
+		replaceAll(r.othersLoading, s.Loading, now.Add(statusTTL))
+		replaceAll(r.othersNext, s.Next, now.Add(statusTTL))
 	}
 	switch {
 	case !s.Stopped:
-	case s.Lease == r.lease.now:
-		r.holder = time.Time{}
+	case s.Lease == r.lease.newest:
+		r.holderSeen = time.Time{}
 		r.lease.released, r.lease.orderFrom = true, now.Add(s.Wait)
 	case s.Lease == r.lease.prior:
-		// This host has taken over meanwhile and need not wait any longer.
+		// This host has already taken over; it need not wait for the rest of the previous term.
 		r.notBefore = now.Add(s.Wait)
 	}
 }
 
-// noteAll replaces what is noted by ids.
-func noteAll(noted map[string]time.Time, ids []string, until time.Time) {
+// replaceAll replaces the contents of noted by ids, each valid until the given time.
+func replaceAll(noted map[string]time.Time, ids []string, until time.Time) {
 	clear(noted)
 	for _, id := range ids {
 		noted[id] = until
 	}
 }
 
-// Phase says how near an engine is to loading weights.
+// Phase is the stage of an engine in a rollout.
 type Phase string
 
 const (
-	// PhaseLoading says that an engine was ordered to load: until it has, it refuses what
-	// it is sent.
+	// PhaseLoading means that the engine was ordered to load; it refuses requests until it has.
 	PhaseLoading Phase = "Loading"
-	// PhaseNext says that an engine will be ordered soon: what it is sent holds that up.
+	// PhaseNext means that the engine will be ordered soon; new requests would delay that.
 	PhaseNext Phase = "Next"
 )
 
-// Phases returns the engines that load now or will soon.
+// Phases returns the engines that are loading or will be ordered soon.
 func (r *Renewer) Phases(now time.Time) map[string]Phase {
 	out := make(map[string]Phase)
 	add := func(noted map[string]time.Time, phase Phase) {
@@ -113,11 +110,11 @@
 			}
 		}
 	}
-	add(r.soon, PhaseNext)
+	add(r.othersNext, PhaseNext)
 	for _, id := range r.next {
 		out[id] = PhaseNext
 	}
-	add(r.loading, PhaseLoading)
+	add(r.othersLoading, PhaseLoading)
 	for id, j := range r.jobs {
 		if j.loading {
 			out[id] = PhaseLoading
--- a/renewer/status_test.go
+++ b/renewer/status_test.go
@@ -10,8 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPhases: the holder's newest word on what loads replaces the one before, so that a
-// renewed engine gets work at once, and counts for a while only.
+// TestPhases checks that a holder's newest status replaces the one before and expires.
 func TestPhases(t *testing.T) {
 	r := New(Options{Host: "a"})
 	now := time.Unix(1000, 0)
@@ -20,7 +19,7 @@
 	now = now.Add(100 * time.Millisecond)
 	r.Heard(now, &Status{Holding: true, Loading: []string{"e2", "e3"}})
 	assert.DeepEqual(t, r.Phases(now), map[string]Phase{"e2": PhaseLoading, "e3": PhaseLoading})
-	r.Heard(now, &Status{Loading: []string{"e4"}}) // of a host that gives no orders
+	r.Heard(now, &Status{Loading: []string{"e4"}}) // ignored: the sender does not hold the lease
 	assert.Equal(t, len(r.Phases(now)), 2)
-	assert.Equal(t, len(r.Phases(now.Add(2*statusLife))), 0)
+	assert.Equal(t, len(r.Phases(now.Add(2*statusTTL))), 0)
 }
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -12,7 +12,7 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// oneEngine is a view with one engine that has a version while another is named.
+// oneEngine returns a view with one engine that has one version while another is named.
 func oneEngine(has, named uint64) *follower.View {
 	return &follower.View{
 		Named:     map[string]follower.Named{"m": {Version: named}},
@@ -20,11 +20,11 @@
 	}
 }
 
-// stepper drives one renewer by hand.
+// stepper runs a single Renewer.
 type stepper struct {
 	now time.Time
 	r   *Renewer
-	end int64 // end is the offset after the lease's newest record.
+	end int64 // end is the offset after the newest lease record.
 }
 
 func newStepper(host string) *stepper {
@@ -34,14 +34,14 @@
 	}
 }
 
-// steps runs for a while, lets writes of the lease succeed, and returns the orders.
-func (s *stepper) steps(d time.Duration, view *follower.View) []Order {
+// collectOrders runs for the duration with successful lease writes, and returns the orders.
+func (s *stepper) collectOrders(d time.Duration, view *follower.View) []Order {
 	var out []Order
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simTick) {
 		for _, c := range s.r.Step(s.now, Input{View: view, Busy: func(string) int { return 0 }}) {
 			switch c := c.(type) {
 			case ReadLease:
-				s.r.LeaseRead(s.now, s.r.lease.now, nil)
+				s.r.LeaseRead(s.now, s.r.lease.newest, nil)
 			case WriteLease:
 				s.end = c.At + 1
 				s.r.LeaseWritten(s.now, c, false, nil)
@@ -53,47 +53,46 @@
 	return out
 }
 
-// TestOrdersAreToldAfterTheirEnd: a holder tells of an order also when the engine
-// had the version already, so that the next holder keeps the turn.
+// TestOrdersAreToldAfterTheirEnd checks that a holder reports an order also if the engine already had
+// the version, so that the next holder waits one turn.
 func TestOrdersAreToldAfterTheirEnd(t *testing.T) {
 	a, b := newStepper("a"), newStepper("b")
-	orders := a.steps(3*simTick, oneEngine(1, 2)) // read the lease, write it, order
+	orders := a.collectOrders(3*simTick, oneEngine(1, 2)) // read the lease, write it, order
 	assert.Equal(t, len(orders), 1)
 	a.r.Ordered(a.now, orders[0], OrderHolds)
 	b.now = a.now
 	for range 30 {
-		a.steps(simTick, oneEngine(2, 2))
+		a.collectOrders(simTick, oneEngine(2, 2))
 		b.now = a.now
 		if st := a.r.Status(a.now); st != nil {
 			b.r.Heard(b.now, st)
 		}
 	}
 	assert.Assert(t, b.r.lease.released, "the hold has ended and that was said")
-	assert.Equal(t, len(b.steps(time.Second, oneEngine(2, 3))), 0, "ordered within a turn of another host")
-	assert.Equal(t, len(b.steps(simTurn, oneEngine(2, 3))), 1)
+	assert.Equal(t, len(b.collectOrders(time.Second, oneEngine(2, 3))), 0, "ordered within a turn of another host")
+	assert.Equal(t, len(b.collectOrders(simTurn, oneEngine(2, 3))), 1)
 }
 
-// TestStartedAnewWaitsATurn: a process that finds the lease in its own host's name
-// knows nothing of orders that others gave before, and waits out their turn.
+// TestStartedAnewWaitsATurn checks that a restarted process that finds its own host's record waits one
+// turn, as it does not know the orders of earlier holders.
 func TestStartedAnewWaitsATurn(t *testing.T) {
 	s := newStepper("a")
 	s.r.LeaseRead(s.now, Lease{Record: Record{Host: "a", Nonce: 3}, End: 7}, nil)
-	assert.Equal(t, len(s.steps(simTurn, oneEngine(1, 2))), 0, "ordered right after its start")
-	assert.Equal(t, len(s.steps(time.Second, oneEngine(1, 2))), 1)
+	assert.Equal(t, len(s.collectOrders(simTurn, oneEngine(1, 2))), 0, "ordered right after its start")
+	assert.Equal(t, len(s.collectOrders(time.Second, oneEngine(1, 2))), 1)
 }
 
-// TestHeirWaitsAsItsPredecessorHadTo: b takes over from a holder that fell silent and
-// has to wait for its turn; b gives the lease up before that time. Whoever follows b
-// must not order earlier than b might have.
+// TestHeirWaitsAsItsPredecessorHadTo: b takes over from a silent holder and releases the lease before its
+// own wait is over. The next holder must not order before b could have.
 func TestHeirWaitsAsItsPredecessorHadTo(t *testing.T) {
 	silent := Lease{Record: Record{Host: "a", Nonce: 3}, End: 7}
 	b, c := newStepper("b"), newStepper("c")
 	seen := b.now
 	b.r.LeaseRead(b.now, silent, nil)
-	assert.Equal(t, len(b.steps(2*time.Second, oneEngine(1, 2))), 0)
+	assert.Equal(t, len(b.collectOrders(2*time.Second, oneEngine(1, 2))), 0)
 	assert.Assert(t, b.r.held(b.now))
-	for range 30 { // nothing is left to do for b, and its hold ends
-		b.steps(simTick, oneEngine(2, 2))
+	for range 30 { // no work is left for b, and its hold ends
+		b.collectOrders(simTick, oneEngine(2, 2))
 		c.now = b.now
 		if st := b.r.Status(b.now); st != nil {
 			c.r.Heard(c.now, st)
@@ -101,16 +100,15 @@
 	}
 	assert.Assert(t, c.r.lease.released)
 	turn := seen.Add(time.Second + simTurn + 200*time.Millisecond)
-	assert.Equal(t, len(c.steps(turn.Sub(c.now), oneEngine(1, 3))), 0, "ordered within a turn of the holder that fell silent")
-	assert.Equal(t, len(c.steps(time.Second, oneEngine(1, 3))), 1)
+	assert.Equal(t, len(c.collectOrders(turn.Sub(c.now), oneEngine(1, 3))), 0, "ordered within a turn of the holder that fell silent")
+	assert.Equal(t, len(c.collectOrders(time.Second, oneEngine(1, 3))), 1)
 }
 
-// TestLeaseIsReadByFew: while no engine has old weights, the first hosts by place read the lease,
-// and no others.
+// TestLeaseIsReadByFew checks that only the first hosts by place read the lease while there is no work.
 func TestLeaseIsReadByFew(t *testing.T) {
-	for place := range 3 * earlyReaders {
+	for place := range 3 * maxIdleReaders {
 		r := New(Options{Host: "a", Term: time.Second})
 		commands := r.Step(time.Unix(1000, 0), Input{View: &follower.View{}, Place: place})
-		assert.Equal(t, len(commands) > 0, place < earlyReaders, "place %d", place)
+		assert.Equal(t, len(commands) > 0, place < maxIdleReaders, "place %d", place)
 	}
 }
