--- a/quarantiner/identity.go
+++ b/quarantiner/identity.go
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// Identity names what a request asks for and who asks. All tries of a caller bear the same
-// one, at whichever host, although each try has a request ID of its own.
+// Identity identifies the content of a request and its workspace. Repeated tries of a caller have the
+// same identity at every host, although each has its own request ID.
 type Identity [16]byte
 
-// String returns the identity in hexadecimal digits, as log lines and operators name it.
+// String returns the identity in hexadecimal, as used in logs and by operators.
 func (id Identity) String() string { return hex.EncodeToString(id[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -30,26 +30,26 @@
 	return errors.Wrap(err, "quarantiner: not an identity")
 }
 
-// Key returns a short form of the identity, for choices that need not tell all apart.
+// Key returns a shortened identity for uses that tolerate collisions.
 func (id Identity) Key() uint64 { return binary.BigEndian.Uint64(id[:]) }
 
-// Parts is what makes up an Identity.
+// Parts are the inputs of an Identity.
 type Parts struct {
-	Workspace string // Workspace is whose request it is, by whichever of its keys; empty on public routes.
+	Workspace string // Workspace is the name of the workspace, or empty on public routes.
 	Method    string
 	Host      string
 	Target    string // Target is the path with the query.
 	Body      []byte
 }
 
-// Identify returns the identity of a request. The hash is a cryptographic one: a workspace
-// must not be able to make up a request that is taken for another workspace's.
+// Identify returns the identity of a request. The hash is cryptographic so that a workspace cannot forge
+// a request with the identity of another workspace's.
 func Identify(p Parts) Identity {
 	h := sha256.New()
 	for _, s := range []string{p.Workspace, p.Method, p.Host, p.Target} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(s)))
-		h.Write(length[:]) // so that the end of one part is not taken for the beginning of the next
+		h.Write(length[:]) // the length separates the part from the next
 		h.Write([]byte(s))
 	}
 	h.Write(p.Body)
--- a/quarantiner/identity_test.go
+++ b/quarantiner/identity_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIdentify: each part counts, and where one ends and the next begins does too.
+// TestIdentify checks that each part, and the boundary between parts, affects the identity.
 func TestIdentify(t *testing.T) {
 	base := Parts{Workspace: "w", Method: "POST", Host: "h", Target: "/r/x", Body: []byte("body")}
 	assert.Equal(t, Identify(base), Identify(base))
@@ -40,8 +40,8 @@
 	}
 }
 
-// BenchmarkIdentify3KB is a usual request; without an identity it costs nothing.
+// BenchmarkIdentify3KB measures a request of typical size.
 func BenchmarkIdentify3KB(b *testing.B) { benchmarkIdentify(b, 3<<10) }
 
-// BenchmarkIdentify1MB is the largest body that deployments allow.
+// BenchmarkIdentify1MB measures a request of the maximum size.
 func BenchmarkIdentify1MB(b *testing.B) { benchmarkIdentify(b, 1<<20) }
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -11,102 +11,87 @@
 )
 
 const (
-	// Bar is the number of ends from which a request is barred: the least that the users
-	// want, and the aim for what one bad request costs in all. Of 107 to 141 requests that
-	// had an engine end under them on a day with some 30 crashes, 3 to 7 had two, none three.
+	// Bar is the number of ends from which a request is barred.
 	Bar = 3
-	// oneEvent is the time within which an upstream to which a request was sent on after an end
-	// is taken to have ended with the first one, as at a loss of power. A request is sent on
-	// within 4 ms of an end, and a bad one ran for 40 ms at least before its upstream ended. Of
-	// 4,422 requests that had an upstream end under them, on 36 days with some 30 crashes each,
-	// one was barred without this, and two of its three ends were 2 ms apart.
-	oneEvent = 20 * time.Millisecond
-	// mostEnds bounds the ends that are remembered of one identity: as many as copies of it
-	// may end that are under way at once.
-	mostEnds = 64
-	// suspectLife is how long ends count that are too few for a bar: callers come back
-	// within seconds, prompts after minutes.
-	suspectLife = 10 * time.Minute
-	// barLife is how long a bar stands after the last end, so that a request that is
-	// repeated all day ends three upstreams a day. An operator may lift it sooner.
-	barLife = 24 * time.Hour
-	// mostRecords bounds what is remembered: a loss of 60 upstreams with 64 requests each
-	// leaves 3,840 suspects. Records take some 300 bytes each.
-	mostRecords = 8192
-	// leftLife is how long after a request was given up its upstream's end counts for it: one
-	// that ends upstreams does so within 0.4 s, and the end shows when the next request is sent
-	// there.
-	leftLife = time.Second
-	// mostLeft bounds how many requests are remembered that were given up in that time. A host
-	// of the size to design for serves 18 a second.
-	mostLeft = 1024
-	// mostServed is how many identities of served requests are remembered at least, twice as
-	// many at most. A host of the size to design for serves 18 a second: 230 s.
-	mostServed = 4096
+	// sameEventWindow is the time after an end within which the end of a retry's upstream is attributed
+	// to the same event, such as a loss of power.
+	sameEventWindow = 20 * time.Millisecond
+	// maxEnds bounds the ends recorded per identity.
+	maxEnds = 64
+	// suspectTTL is how long the ends of a suspect count. Callers retry within seconds.
+	suspectTTL = 10 * time.Minute
+	// barTTL is how long a request stays barred after its last end, unless an operator lifts the bar.
+	barTTL = 24 * time.Hour
+	// maxRecords bounds the identities recorded.
+	maxRecords = 8192
+	// abandonedTTL is how long the end of an upstream counts for a request abandoned there. The end may
+	// be noticed only when the next request is sent to the upstream.
+	abandonedTTL = time.Second
+	// maxAbandoned bounds the abandoned requests remembered.
+	maxAbandoned = 1024
+	// minServedKept is the number of most recently served identities that are always remembered; up to
+	// twice as many may be.
+	minServedKept = 4096
 )
 
-// Standing is what is thought of a request.
+// Standing is the status of a request.
 type Standing string
 
-// The standings.
 const (
-	Free    Standing = "Free"
-	Suspect Standing = "Suspect" // Suspect says that upstreams have ended under it, too few for a bar.
-	Barred  Standing = "Barred"
+	Free    Standing = "Free"    // Free means that no ends count against it.
+	Suspect Standing = "Suspect" // Suspect means that upstreams have ended under it, but fewer than Bar.
+	Barred  Standing = "Barred"  // Barred means that it is sent to no upstream.
 )
 
-// Verdict is a Standing with what it is based on.
+// Verdict is a Standing with its evidence.
 type Verdict struct {
 	Standing Standing
-	Ends     []string // Ends are the starts of upstreams that ended under the request.
+	Ends     []string // Ends are the upstream instances that ended under the request.
 }
 
-// Options set up a Ledger.
+// Options configure a Ledger.
 type Options struct {
-	// Changed is called, if set, when News has something new. It must not block, nor call
-	// the Ledger.
+	// Changed is called, if set, when News has new entries. It must not block or call the Ledger.
 	Changed func()
-	// Barred is called, if set, when a request is barred here. It must not block, nor call
-	// the Ledger.
+	// Barred is called, if set, when a request becomes barred. It must not block or call the Ledger.
 	Barred func(w Word)
 }
 
-// Ledger remembers under which requests upstreams have ended. It is safe for concurrent
-// use.
+// Ledger records the upstream ends of each request. It is safe for concurrent use.
 type Ledger struct {
-	opts  Options
-	known atomic.Int64 // known is the number of records, for those who need not take the lock.
-
-	mu      sync.Mutex
-	records map[Identity]*record
-	news    map[Identity]struct{} // news are identities of which the other hosts are to hear.
-	digest  uint64
-	served  recent
-	left    []departure // left are requests that were given up lately, in order.
+	opts Options
+	size atomic.Int64 // size is len(records), readable without the lock.
+
+	mu        sync.Mutex
+	records   map[Identity]*record
+	unsent    map[Identity]struct{} // unsent are identities whose changes News has not returned yet.
+	digest    uint64                // digest is the XOR of the digests of all records.
+	served    recentSet
+	abandoned []abandonment // abandoned are recently abandoned requests, oldest first.
 }
 
-// departure is a request that was given up while it was under way at a start of an upstream.
-type departure struct {
+// abandonment is a request that was abandoned while it was running at an upstream instance.
+type abandonment struct {
 	id    Identity
 	start string
 	at    time.Time
 }
 
-// New returns a ledger that knows nothing.
+// New returns an empty ledger.
 func New(opts Options) *Ledger {
-	return &Ledger{opts: opts, records: make(map[Identity]*record), news: make(map[Identity]struct{})}
+	return &Ledger{opts: opts, records: make(map[Identity]*record), unsent: make(map[Identity]struct{})}
 }
 
-// Standing returns what is thought of a request.
+// Standing returns the status of a request.
 func (l *Ledger) Standing(now time.Time, id Identity) Verdict {
-	if l.known.Load() == 0 {
+	if l.size.Load() == 0 {
 		return Verdict{Standing: Free}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[id]
 	switch {
-	case r == nil || len(r.ends) == 0 || now.Sub(r.at) >= r.life():
+	case r == nil || len(r.ends) == 0 || now.Sub(r.changedAt) >= r.ttl():
 		return Verdict{Standing: Free}
 	case r.barred():
 		return Verdict{Standing: Barred, Ends: slices.Clone(r.ends)}
@@ -114,67 +99,66 @@
 	return Verdict{Standing: Suspect, Ends: slices.Clone(r.ends)}
 }
 
-// Ended takes in that a start of an upstream has ended, as this host has seen, with a request
-// under way that it was sent at a time. Copies of a bad request that are sent at once end their
-// upstreams at once: only what was sent on after an end may have met the same event.
+// Ended records that an upstream instance ended while running a request that was sent at the given time.
+// A request sent after the previous end was a retry, and its upstream may have ended by the same event;
+// copies that were sent concurrently count separately.
 func (l *Ledger) Ended(now time.Time, id Identity, start string, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.departed(now, map[string]bool{start: true})
-	if r := l.records[id]; r != nil && now.Sub(r.seen) < oneEvent && !sent.Before(r.seen) {
+	l.countAbandoned(now, map[string]bool{start: true})
+	if r := l.records[id]; r != nil && now.Sub(r.lastLocalEnd) < sameEventWindow && !sent.Before(r.lastLocalEnd) {
 		return
 	}
-	l.count(now, id, start)
+	l.recordEnd(now, id, start)
 }
 
-// Left takes in that a request was given up here, by its caller or for its time, while it may
-// have been under way at a start of an upstream. If that ends soon, the request counts among
-// those that were: callers that break off and come again would else end one upstream after the
-// other unseen.
+// Left records that a request was abandoned, by its caller or at its deadline, while it may have been
+// running at an upstream instance. Otherwise callers that disconnect and retry could end one upstream
+// after another unnoticed.
 func (l *Ledger) Left(now time.Time, id Identity, start string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if over := len(l.left) - mostLeft + 1; over > 0 {
-		l.left = l.left[over:]
+	if over := len(l.abandoned) - maxAbandoned + 1; over > 0 {
+		l.abandoned = l.abandoned[over:]
 	}
-	l.left = append(l.left, departure{id: id, start: start, at: now})
+	l.abandoned = append(l.abandoned, abandonment{id: id, start: start, at: now})
 }
 
-// Gone takes in that a start of an upstream has ended, with no request of this host under way.
+// Gone records that an upstream instance ended without a running request of this host.
 func (l *Ledger) Gone(now time.Time, start string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.departed(now, map[string]bool{start: true})
+	l.countAbandoned(now, map[string]bool{start: true})
 }
 
-// departed counts the ends of starts of upstreams for requests that were given up there just
-// before; l.mu is held.
-func (l *Ledger) departed(now time.Time, ended map[string]bool) {
-	fresh := slices.IndexFunc(l.left, func(d departure) bool { return now.Sub(d.at) < leftLife })
+// countAbandoned records the ends of upstream instances for the requests recently abandoned there;
+// l.mu is held.
+func (l *Ledger) countAbandoned(now time.Time, ended map[string]bool) {
+	fresh := slices.IndexFunc(l.abandoned, func(d abandonment) bool { return now.Sub(d.at) < abandonedTTL })
 	if fresh < 0 {
-		l.left = nil
+		l.abandoned = nil
 		return
 	}
-	l.left = l.left[fresh:]
-	for _, d := range l.left {
+	l.abandoned = l.abandoned[fresh:]
+	for _, d := range l.abandoned {
 		if ended[d.start] {
-			l.count(now, d.id, d.start)
+			l.recordEnd(now, d.id, d.start)
 		}
 	}
 }
 
-// count counts an end that this host has seen; l.mu is held.
-func (l *Ledger) count(now time.Time, id Identity, start string) {
+// recordEnd records an end that this host has observed; l.mu is held.
+func (l *Ledger) recordEnd(now time.Time, id Identity, start string) {
 	if l.served.has(id) {
-		return // one that ends upstreams was never served
+		return // a request that crashes upstreams is never served
 	}
-	if l.change(now, id, func(r *record) bool { return r.add(start) }) {
-		l.records[id].seen = now
-		l.tell(id)
+	if l.update(now, id, func(r *record) bool { return r.add(start) }) {
+		l.records[id].lastLocalEnd = now
+		l.announce(id)
 	}
 }
 
-// Served takes in that a request was answered whole and well: no end was its doing.
+// Served records that a request was answered in full, which clears its ends.
 func (l *Ledger) Served(now time.Time, id Identity) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,47 +166,47 @@
 	l.clear(now, id)
 }
 
-// Lift clears a request on an operator's word. It reports whether any end counted.
+// Lift clears the ends of a request for an operator. It reports whether there were any.
 func (l *Ledger) Lift(now time.Time, id Identity) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.clear(now, id)
 }
 
-// clear lets no end of a request count any more; l.mu is held.
+// clear clears the ends of a request; l.mu is held.
 func (l *Ledger) clear(now time.Time, id Identity) bool {
 	r := l.records[id]
-	if r == nil || !l.change(now, id, (*record).clearAll) {
+	if r == nil || !l.update(now, id, (*record).clearAll) {
 		return false
 	}
-	if r.repeated() {
-		l.tell(id)
+	if r.multipleEnds() {
+		l.announce(id)
 	}
 	return true
 }
 
-// tell has the other hosts hear of an identity; l.mu is held.
-func (l *Ledger) tell(id Identity) {
-	l.news[id] = struct{}{}
+// announce queues an identity for News; l.mu is held.
+func (l *Ledger) announce(id Identity) {
+	l.unsent[id] = struct{}{}
 	if l.opts.Changed != nil {
 		l.opts.Changed()
 	}
 }
 
-// Hear takes in what another host knows, and returns what is known of requests that are
-// barred by it, to be told on. The rest need not be: hosts that differ find out by Digest.
+// Hear merges the records of another host, and returns those that became barred by it, for forwarding.
+// Other differences are found by comparing Digest.
 func (l *Ledger) Hear(now time.Time, words []Word) (barred []Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.left) > 0 {
-		l.departed(now, endsOf(words))
+	if len(l.abandoned) > 0 {
+		l.countAbandoned(now, endedStarts(words))
 	}
 	for _, w := range words {
-		if w.Age < w.life() {
+		if w.Age < w.ttl() {
 			free := !l.barred(w.Identity)
-			l.change(now.Add(-w.Age), w.Identity, func(r *record) bool { return r.merge(w) })
+			l.update(now.Add(-w.Age), w.Identity, func(r *record) bool { return r.merge(w) })
 			if free && l.barred(w.Identity) {
-				barred = append(barred, l.records[w.Identity].word(now, w.Identity))
+				barred = append(barred, l.records[w.Identity].snapshot(now, w.Identity))
 			}
 		}
 		if l.served.has(w.Identity) {
@@ -232,62 +216,61 @@
 	return barred
 }
 
-// barred tells whether a request is; l.mu is held.
+// barred reports whether a request is barred; l.mu is held.
 func (l *Ledger) barred(id Identity) bool {
 	r := l.records[id]
 	return r != nil && r.barred()
 }
 
-// change changes a record of which something was heard of at a time, and reports whether it
-// did; l.mu is held.
-func (l *Ledger) change(at time.Time, id Identity, do func(r *record) bool) bool {
+// update applies do to a record, of which news arrived at the given time, and reports whether it changed;
+// l.mu is held.
+func (l *Ledger) update(at time.Time, id Identity, do func(r *record) bool) bool {
 	r := l.records[id]
 	if r == nil {
-		l.makeRoom()
+		l.evict()
 		r = &record{}
 		l.records[id] = r
 	}
 	before, free := r.digest(id), !r.barred()
 	changed := do(r)
-	if changed && at.After(r.at) {
-		r.at = at
+	if changed && at.After(r.changedAt) {
+		r.changedAt = at
 	}
 	l.digest ^= before ^ r.digest(id)
 	if free && r.barred() && l.opts.Barred != nil {
-		l.opts.Barred(r.word(at, id))
+		l.opts.Barred(r.snapshot(at, id))
 	}
 	if r.empty() {
 		delete(l.records, id)
 	}
-	l.known.Store(int64(len(l.records)))
+	l.size.Store(int64(len(l.records)))
 	return changed
 }
 
-// Expire forgets what is too old. It is to be called from time to time.
+// Expire removes expired records. It must be called periodically.
 func (l *Ledger) Expire(now time.Time) {
-	if l.known.Load() == 0 {
+	if l.size.Load() == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, r := range l.records {
-		if now.Sub(r.at) >= r.life() {
-			l.forget(id)
+		if now.Sub(r.changedAt) >= r.ttl() {
+			l.remove(id)
 		}
 	}
 }
 
-func (l *Ledger) forget(id Identity) {
+func (l *Ledger) remove(id Identity) {
 	l.digest ^= l.records[id].digest(id)
 	delete(l.records, id)
-	delete(l.news, id)
-	l.known.Store(int64(len(l.records)))
+	delete(l.unsent, id)
+	l.size.Store(int64(len(l.records)))
 }
 
-// makeRoom forgets the oldest quarter of the records when there are too many, and bars after
-// all others.
-func (l *Ledger) makeRoom() {
-	if len(l.records) < mostRecords {
+// evict removes the oldest quarter of the records if there are too many, barred ones last.
+func (l *Ledger) evict() {
+	if len(l.records) < maxRecords {
 		return
 	}
 	ids := make([]Identity, 0, len(l.records))
@@ -302,56 +285,56 @@
 			}
 			return 1
 		}
-		return x.at.Compare(y.at)
+		return x.changedAt.Compare(y.changedAt)
 	})
-	for _, id := range ids[:max(0, len(ids)-mostRecords*3/4)] {
-		l.forget(id)
+	for _, id := range ids[:max(0, len(ids)-maxRecords*3/4)] {
+		l.remove(id)
 	}
 }
 
-// News returns what the other hosts are to hear since it was last asked for.
+// News returns the records to send to the other hosts, and clears the queue.
 func (l *Ledger) News(now time.Time) []Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Word
-	for id := range l.news {
-		out = append(out, l.records[id].word(now, id))
+	for id := range l.unsent {
+		out = append(out, l.records[id].snapshot(now, id))
 	}
-	clear(l.news)
+	clear(l.unsent)
 	return out
 }
 
-// Words returns what Digest is of, for hosts that know less.
+// Words returns all records that Digest covers, for hosts that have missed some.
 func (l *Ledger) Words(now time.Time) []Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.words(now, (*record).repeated)
+	return l.snapshots(now, (*record).multipleEnds)
 }
 
-// Bars returns what is known of requests that are barred.
+// Bars returns the records of barred requests.
 func (l *Ledger) Bars(now time.Time) []Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.words(now, (*record).barred)
+	return l.snapshots(now, (*record).barred)
 }
 
-func (l *Ledger) words(now time.Time, which func(r *record) bool) []Word {
+func (l *Ledger) snapshots(now time.Time, which func(r *record) bool) []Word {
 	var out []Word
 	for id, r := range l.records {
-		if now.Sub(r.at) < r.life() && which(r) {
-			out = append(out, r.word(now, id))
+		if now.Sub(r.changedAt) < r.ttl() && which(r) {
+			out = append(out, r.snapshot(now, id))
 		}
 	}
 	return out
 }
 
-// Digest is the same for ledgers that know the same of requests with more than one end, and 0
-// for one that knows of none.
+// Digest returns a digest of the records with more than one end. Ledgers with the same such records have
+// the same digest; it is 0 without any.
 func (l *Ledger) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.digest
 }
 
-// Len returns the number of identities of which ends are remembered.
-func (l *Ledger) Len() int { return int(l.known.Load()) }
+// Len returns the number of identities recorded.
+func (l *Ledger) Len() int { return int(l.size.Load()) }
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -18,19 +18,21 @@
 	"amaranthgate.example/amaranthgate/internal/strictjson"
 )
 
-func named(name string) Identity { return Identify(Parts{Target: name}) }
+func identityOf(name string) Identity { return Identify(Parts{Target: name}) }
 
 type step struct {
-	Host  string            // Host is where it happens.
-	Do    string            // Do is "ended REQUEST START" or "ended REQUEST START RUN", "left REQUEST START", "gone REQUEST START", "served REQUEST", "lift REQUEST" or "tell HOST".
-	After duration.Duration // After is the time that passes before; a second if it is not set.
-	Want  string            // Want is what the host thinks of the request afterwards, if it names one.
+	Host string // Host is where the step happens.
+	// Do is "ended REQUEST START" or "ended REQUEST START RUN", "left REQUEST START", "gone REQUEST START",
+	// "served REQUEST", "lift REQUEST", "look REQUEST", "tell HOST", "tell-late HOST" or "tell-all HOST".
+	Do    string
+	After duration.Duration // After is the time before the step; one second if not set.
+	Want  string            // Want is the expected standing of the request afterwards.
 }
 
-// onTheWay is how long a word may take to a host that is busy.
-const onTheWay = 50 * time.Millisecond
+// messageDelay is the delay of a message to a busy host.
+const messageDelay = 50 * time.Millisecond
 
-// TestScripts plays what happens at several hosts and what they think then.
+// TestScripts runs the scripted events and checks the standing of requests at each host.
 func TestScripts(t *testing.T) {
 	text, err := os.ReadFile("testdata/scripts.jsonc")
 	assert.NilError(t, err)
@@ -41,12 +43,11 @@
 	_, faults := strictjson.Decode(text, &cases)
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	for _, c := range cases {
-		t.Run(c.Name, func(t *testing.T) { play(t, c.Steps) })
+		t.Run(c.Name, func(t *testing.T) { runScript(t, c.Steps) })
 	}
 }
 
-// sentAt is when the request of an end was sent: as long before as is said, or at the end of
-// the step before.
+// sentAt returns when the request of an end was sent: RUN before the end, or else at the previous step.
 func sentAt(t *testing.T, now time.Time, s step, verb []string) time.Time {
 	if len(verb) < 4 {
 		return now.Add(-cmp.Or(s.After.Std(), time.Second))
@@ -56,7 +57,7 @@
 	return now.Add(-run)
 }
 
-func play(t *testing.T, steps []step) {
+func runScript(t *testing.T, steps []step) {
 	now := time.Unix(1000, 0)
 	hosts := map[string]*Ledger{}
 	at := func(name string) *Ledger {
@@ -72,20 +73,20 @@
 		verb := strings.Fields(s.Do)
 		switch verb[0] {
 		case "ended":
-			l.Ended(now, named(verb[1]), verb[2], sentAt(t, now, s, verb))
+			l.Ended(now, identityOf(verb[1]), verb[2], sentAt(t, now, s, verb))
 		case "left":
-			l.Left(now, named(verb[1]), verb[2])
+			l.Left(now, identityOf(verb[1]), verb[2])
 		case "gone":
 			l.Gone(now, verb[2])
 		case "served":
-			l.Served(now, named(verb[1]))
+			l.Served(now, identityOf(verb[1]))
 		case "lift":
-			l.Lift(now, named(verb[1]))
+			l.Lift(now, identityOf(verb[1]))
 		case "tell":
 			at(verb[1]).Hear(now, l.News(now))
 		case "tell-late":
 			words := l.News(now)
-			now = now.Add(onTheWay)
+			now = now.Add(messageDelay)
 			at(verb[1]).Hear(now, words)
 		case "tell-all":
 			at(verb[1]).Hear(now, l.Words(now))
@@ -94,13 +95,13 @@
 			t.Fatalf("unknown step %q", s.Do)
 		}
 		if s.Want != "" {
-			assert.Equal(t, l.Standing(now, named(verb[1])).Standing, Standing(s.Want), "step %d: %s at %s", i, s.Do, s.Host)
+			assert.Equal(t, l.Standing(now, identityOf(verb[1])).Standing, Standing(s.Want), "step %d: %s at %s", i, s.Do, s.Host)
 		}
 	}
 }
 
-// TestOrderDoesNotMatter: hosts that hear the same words, in whatever order and however often,
-// think the same.
+// TestOrderDoesNotMatter checks that hosts that receive the same words in any order, any number of times,
+// reach the same state.
 func TestOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -109,7 +110,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			l := sources[rapid.IntRange(0, 2).Draw(t, "host")]
-			id := named(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "request")))
+			id := identityOf(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "request")))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				l.Lift(now, id)
@@ -124,61 +125,60 @@
 		b.Hear(now, words)
 		assert.Equal(t, a.Digest(), b.Digest())
 		for i := range 4 {
-			id := named(fmt.Sprint(i))
+			id := identityOf(fmt.Sprint(i))
 			assert.Equal(t, a.Standing(now, id).Standing, b.Standing(now, id).Standing)
 		}
 	})
 }
 
-// TestBounds: many different bad requests do not grow the ledger without bound, and bars
-// outlast suspects; what was served long ago is forgotten.
+// TestBounds checks that the ledger's size is bounded, that bars outlast suspects, and that identities
+// served long ago are dropped.
 func TestBounds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(Options{})
 	for i := range Bar {
 		now = now.Add(time.Second)
-		l.Ended(now, named("bad"), fmt.Sprint(i), now)
+		l.Ended(now, identityOf("bad"), fmt.Sprint(i), now)
 	}
-	for i := range 3 * mostRecords {
+	for i := range 3 * maxRecords {
 		now = now.Add(time.Millisecond)
-		l.Ended(now, named(fmt.Sprint("request-", i)), "start", now)
+		l.Ended(now, identityOf(fmt.Sprint("request-", i)), "start", now)
 	}
-	assert.Assert(t, l.Len() <= mostRecords)
-	assert.Equal(t, l.Standing(now, named("bad")).Standing, Barred)
-	assert.Equal(t, l.Standing(now, named(fmt.Sprint("request-", 3*mostRecords-1))).Standing, Suspect)
+	assert.Assert(t, l.Len() <= maxRecords)
+	assert.Equal(t, l.Standing(now, identityOf("bad")).Standing, Barred)
+	assert.Equal(t, l.Standing(now, identityOf(fmt.Sprint("request-", 3*maxRecords-1))).Standing, Suspect)
 
 	served := New(Options{})
-	for i := range 3 * mostServed {
-		served.Served(now, named(fmt.Sprint(i)))
+	for i := range 3 * minServedKept {
+		served.Served(now, identityOf(fmt.Sprint(i)))
 	}
-	assert.Assert(t, len(served.served.newer)+len(served.served.older) <= 2*mostServed)
-	assert.Assert(t, served.served.has(named(fmt.Sprint(3*mostServed-1))) && !served.served.has(named("0")))
+	assert.Assert(t, len(served.served.newer)+len(served.served.older) <= 2*minServedKept)
+	assert.Assert(t, served.served.has(identityOf(fmt.Sprint(3*minServedKept-1))) && !served.served.has(identityOf("0")))
 	assert.Equal(t, served.Digest(), uint64(0))
 	assert.Equal(t, served.Len(), 0)
 }
 
-// BenchmarkStanding is what each request pays before it is sent, where 1,000 suspects are
-// known.
+// BenchmarkStanding measures the lookup before a request is sent, with 1,000 suspects.
 func BenchmarkStanding(b *testing.B) {
 	now := time.Unix(1000, 0)
 	l := New(Options{})
 	for i := range 1000 {
-		l.Ended(now, named(fmt.Sprint(i)), "start", now)
+		l.Ended(now, identityOf(fmt.Sprint(i)), "start", now)
 	}
-	id := named("innocent")
+	id := identityOf("innocent")
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Standing(now, id)
 	}
 }
 
-// BenchmarkServed is what each request pays at its end.
+// BenchmarkServed measures the update after a request.
 func BenchmarkServed(b *testing.B) {
 	now := time.Unix(1000, 0)
 	l := New(Options{})
-	ids := make([]Identity, 4*mostServed)
+	ids := make([]Identity, 4*minServedKept)
 	for i := range ids {
-		ids[i] = named(fmt.Sprint(i))
+		ids[i] = identityOf(fmt.Sprint(i))
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/quarantiner/recent.go
+++ b/quarantiner/recent.go
@@ -3,14 +3,14 @@
 
 package quarantiner
 
-// recent remembers the identities that were added last: mostServed at least, twice as many
-// at most. Its zero value is ready.
-type recent struct {
+// recentSet holds the identities added last: at least minServedKept and at most twice as many. Its zero
+// value is ready for use.
+type recentSet struct {
 	newer, older map[Identity]struct{}
 }
 
-func (r *recent) add(id Identity) {
-	if len(r.newer) >= mostServed {
+func (r *recentSet) add(id Identity) {
+	if len(r.newer) >= minServedKept {
 		r.older, r.newer = r.newer, nil
 	}
 	if r.newer == nil {
@@ -19,7 +19,7 @@
 	r.newer[id] = struct{}{}
 }
 
-func (r *recent) has(id Identity) bool {
+func (r *recentSet) has(id Identity) bool {
 	if _, ok := r.newer[id]; ok {
 		return true
 	}
--- a/quarantiner/word.go
+++ b/quarantiner/word.go
@@ -10,16 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Word is all that a host knows of one identity, for other hosts.
+// Word is a host's whole record of one identity, as sent to other hosts.
 type Word struct {
 	Identity Identity      `cbor:"1,keyasint"`
-	Ends     []string      `cbor:"2,keyasint,omitempty"` // Ends are the starts of upstreams that ended under it, and count.
-	Cleared  []string      `cbor:"3,keyasint,omitempty"` // Cleared are those that do not count any more.
-	Age      time.Duration `cbor:"4,keyasint,omitempty"` // Age is how long ago the last end was heard of.
+	Ends     []string      `cbor:"2,keyasint,omitempty"` // Ends are the upstream instances that ended under it.
+	Cleared  []string      `cbor:"3,keyasint,omitempty"` // Cleared are ends that no longer count.
+	Age      time.Duration `cbor:"4,keyasint,omitempty"` // Age is the time since the record last changed.
 }
 
-// endsOf returns all starts of upstreams that words name as ended.
-func endsOf(words []Word) map[string]bool {
+// endedStarts returns all upstream instances that the words report as ended.
+func endedStarts(words []Word) map[string]bool {
 	ends := make(map[string]bool)
 	for _, w := range words {
 		for _, start := range w.Ends {
@@ -29,58 +29,58 @@
 	return ends
 }
 
-// record is what is known of one identity.
+// record is the local record of one identity.
 type record struct {
-	ends    []string // ends are in the order in which they were heard of.
-	cleared []string
-	at      time.Time // at is when the last end was heard of.
-	seen    time.Time // seen is when this host last saw one itself; others' word may have come late.
+	ends         []string // ends are in the order in which they became known.
+	cleared      []string
+	changedAt    time.Time // changedAt is when the record last changed.
+	lastLocalEnd time.Time // lastLocalEnd is when this host last observed an end itself.
 }
 
 func (r *record) barred() bool { return len(r.ends) >= Bar }
 
 func (r *record) empty() bool { return len(r.ends) == 0 && len(r.cleared) == 0 }
 
-// repeated tells that more than one end is known, counted or not. Of one alone hosts hear once
-// and not again: most are of requests that never come back, and if word of it is lost, a bad
-// request ends one upstream more.
-func (r *record) repeated() bool { return len(r.ends)+len(r.cleared) > 1 }
+// multipleEnds reports whether more than one end is known, cleared or not. Only such records are
+// reconciled by Digest: most requests with a single end never come back, and a lost report costs at most
+// one more upstream.
+func (r *record) multipleEnds() bool { return len(r.ends)+len(r.cleared) > 1 }
 
-// life is how long the record is kept after its last end.
-func (r *record) life() time.Duration { return life(r.ends) }
+// ttl is how long the record is kept after its last change.
+func (r *record) ttl() time.Duration { return recordTTL(r.ends) }
 
-func (w *Word) life() time.Duration { return life(w.Ends) }
+func (w *Word) ttl() time.Duration { return recordTTL(w.Ends) }
 
-func life(ends []string) time.Duration {
+func recordTTL(ends []string) time.Duration {
 	if len(ends) >= Bar {
-		return barLife
+		return barTTL
 	}
-	return suspectLife
+	return suspectTTL
 }
 
-// add counts an end. It reports whether that is news.
+// add records an end and reports whether it is new.
 func (r *record) add(start string) bool {
-	if slices.Contains(r.ends, start) || slices.Contains(r.cleared, start) || len(r.ends) >= mostEnds {
+	if slices.Contains(r.ends, start) || slices.Contains(r.cleared, start) || len(r.ends) >= maxEnds {
 		return false
 	}
 	r.ends = append(r.ends, start)
 	return true
 }
 
-// clear lets an end count no more. It reports whether that is news.
+// clear marks an end as cleared and reports whether it was not yet.
 func (r *record) clear(start string) bool {
 	if slices.Contains(r.cleared, start) {
 		return false
 	}
 	r.ends = slices.DeleteFunc(r.ends, func(s string) bool { return s == start })
 	r.cleared = append(r.cleared, start)
-	if over := len(r.cleared) - mostEnds; over > 0 {
+	if over := len(r.cleared) - maxEnds; over > 0 {
 		r.cleared = r.cleared[over:]
 	}
 	return true
 }
 
-// clearAll lets no end count. It reports whether any did.
+// clearAll clears all ends and reports whether there were any.
 func (r *record) clearAll() bool {
 	counted := slices.Clone(r.ends)
 	for _, start := range counted {
@@ -89,7 +89,7 @@
 	return len(counted) > 0
 }
 
-// merge takes in what another host knows. It reports whether that is news.
+// merge adds the record of another host and reports whether this one changed.
 func (r *record) merge(w Word) bool {
 	changed := false
 	for _, start := range w.Cleared {
@@ -101,11 +101,11 @@
 	return changed
 }
 
-// digest is the same for hosts that think the same of a request: it does not depend on the
-// order of ends, nor on how many there are beyond the bar.
+// digest is the same at all hosts with the same status of a request: it does not depend on the order of
+// ends, nor on their number once the request is barred.
 func (r *record) digest(id Identity) uint64 {
 	sum := uint64(0)
-	if !r.repeated() {
+	if !r.multipleEnds() {
 		return sum
 	}
 	if r.barred() {
@@ -121,6 +121,6 @@
 	return sum
 }
 
-func (r *record) word(now time.Time, id Identity) Word {
-	return Word{Identity: id, Ends: slices.Clone(r.ends), Cleared: slices.Clone(r.cleared), Age: max(0, now.Sub(r.at))}
+func (r *record) snapshot(now time.Time, id Identity) Word {
+	return Word{Identity: id, Ends: slices.Clone(r.ends), Cleared: slices.Clone(r.cleared), Age: max(0, now.Sub(r.changedAt))}
 }
