--- a/matcher/doc.go
+++ b/matcher/doc.go
@@ -1,11 +1,10 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package matcher finds the route of a request and the workspace of a key.
+// Package matcher maps requests to routes and keys to workspaces.
 //
-// A Table is one version of the configuration, checked and indexed. It is
-// immutable: a new version is a new Table, and whoever holds an old one may go
-// on using it until its request ends.
+// A Table is an indexed version of the configuration. It is immutable, so a
+// request can use the same Table from start to end while newer ones are published.
 //
 // # Usage
 //
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -9,44 +9,44 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind is the repeatability of a route's requests.
 type Kind string
 
 const (
-	KindIdempotent Kind = "Idempotent" // KindIdempotent may run more than once.
-	KindOnce       Kind = "Once"       // KindOnce may run at most once.
-	KindStream     Kind = "Stream"     // KindStream is answered by events, and may run once unless it is resumable.
+	KindIdempotent Kind = "Idempotent" // KindIdempotent requests may run more than once.
+	KindOnce       Kind = "Once"       // KindOnce requests may run at most once.
+	KindStream     Kind = "Stream"     // KindStream requests are answered by a stream of events.
 )
 
-// Route says how requests of one host name and path prefix are served.
+// Route configures the requests of one host name and path prefix.
 type Route struct {
 	Name        string
 	Host        string
 	PathPrefix  string // PathPrefix begins and ends with a slash.
 	Kind        Kind
-	Resumable   bool // Resumable tells that a stream may go on at another upstream after its last event.
-	Prompted    bool // Prompted tells that requests carry prompts and go to engines.
-	Public      bool // Public tells that no key is asked for.
+	Resumable   bool // Resumable reports whether another upstream can continue a stream after its last event.
+	Prompted    bool // Prompted reports whether requests carry prompts for engines.
+	Public      bool // Public reports whether requests need no key.
 	Timeout     time.Duration
-	Objective   time.Duration // Objective is the latency up to which an answer is on time.
-	Rank        int           // Rank is the urgency; 0 is the most urgent.
-	MaxAttempts int           // MaxAttempts bounds the upstreams on which one request may run.
-	Regions     []string      // Regions are those that may serve its requests and keep their context; all if there are none.
+	Objective   time.Duration // Objective is the latency objective of an answer.
+	Rank        int           // Rank is the priority; 0 is the highest.
+	MaxAttempts int           // MaxAttempts bounds the number of upstreams that may run one request.
+	Regions     []string      // Regions may serve the requests and keep their context; empty means all regions.
 	Services    []Share
 }
 
-// Repeatable tells that a request may run again after it may have run.
+// Repeatable reports whether a request may run again after it may have run already.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
 
-// Share is a service and its part of a route's requests.
+// Share is a service with its weight in a route.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Pick returns the service for a number drawn evenly from [0, 1).
+// Pick returns the service for a number drawn uniformly from [0, 1).
 func (r *Route) Pick(draw float64) string {
 	var sum float64
 	for _, s := range r.Services {
@@ -62,44 +62,44 @@
 	return r.Services[len(r.Services)-1].Service
 }
 
-// Service is a group of upstreams that do the same.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name           string
-	ColdFor        time.Duration // ColdFor is how long an upstream is slow after its start.
-	ColdPerSecond  float64       // ColdPerSecond is how many requests a second an upstream bears meanwhile; 0 if any.
-	MaxConnections int           // MaxConnections bounds the connections to one upstream, of all hosts together.
-	Engine         *Engine       // Engine is nil for plain services.
-	Store          *Store        // Store is nil unless the service keeps context for engines.
+	ColdFor        time.Duration // ColdFor is the warm-up time of a started upstream.
+	ColdPerSecond  float64       // ColdPerSecond is an upstream's request rate during warm-up; 0 means unlimited.
+	MaxConnections int           // MaxConnections bounds the connections of all hosts to one upstream.
+	Engine         *Engine       // Engine is nil for services without prompts.
+	Store          *Store        // Store is nil unless the service stores kept context for engines.
 }
 
-// Engine describes the upstreams of a service that computes prompts.
+// Engine describes the upstreams of a service that runs prompts.
 type Engine struct {
 	Slots          int
-	CapacityTokens int // CapacityTokens is the memory that running requests and kept context share.
+	CapacityTokens int // CapacityTokens is the memory shared by running requests and kept context.
 	BytesPerToken  int
 	LinkMbps       float64
 	Models         []string
 }
 
-// Store describes a store of kept context.
+// Store describes a store of kept context, the KV cache of finished requests.
 type Store struct {
 	Address          string // Address is IP:port.
 	AvailabilityZone string
 	CapacityTokens   int
 	LinkMbps         float64
-	FirstDelay       time.Duration // FirstDelay is what each transfer waits first.
+	FirstDelay       time.Duration // FirstDelay is the latency before the first byte of a transfer.
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a customer with its API keys.
 type Workspace struct {
 	Name     string
 	Keys     []string
-	Rank     *int     // Rank goes before the route's rank if it is set.
-	Regions  []string // Regions are as those of a route; where both have some, both bind.
-	Isolated bool     // Isolated tells that no kept context is shared with others.
+	Rank     *int     // Rank overrides the route's rank if set.
+	Regions  []string // Regions restrict those of the route further; empty means no restriction.
+	Isolated bool     // Isolated reports whether kept context is not shared with other workspaces.
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -124,7 +124,7 @@
 	byKey    map[string]*Workspace
 }
 
-// New returns the table of parts, which it takes over.
+// New returns a table of parts and takes ownership of them.
 func New(parts Parts) *Table {
 	t := &Table{
 		parts:    parts,
@@ -151,22 +151,22 @@
 	return t
 }
 
-// Version returns the version, which only grows.
+// Version returns the configuration version. Versions only increase.
 func (t *Table) Version() uint64 { return t.parts.Version }
 
-// Limits returns what callers are held to.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.parts.Limits }
 
-// Services returns all services. The caller must not change them.
+// Services returns all services. The caller must not modify them.
 func (t *Table) Services() []Service { return t.parts.Services }
 
-// Service returns a service by its name.
+// Service returns the service with the given name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// Keyed tells that requests need a key unless their route is public.
+// Keyed reports whether requests to routes that are not public need a key.
 func (t *Table) Keyed() bool { return len(t.parts.Workspaces) > 0 }
 
 // Workspace returns the workspace that holds a key.
@@ -175,8 +175,7 @@
 	return w, ok
 }
 
-// Route returns the route with the longest prefix of path among those of host,
-// which may carry a port.
+// Route returns the route of host with the longest matching prefix of path. host may include a port.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	host = strings.ToLower(host)
 	routes, ok := t.byHost[host]
