--- a/timer/clock.go
+++ b/timer/clock.go
@@ -12,60 +12,55 @@
 )
 
 const (
-	// leastSuspension is the least time that counts as a suspension: two clocks are not read
-	// at the same moment.
-	leastSuspension = 5 * time.Millisecond
-	// measureAgain is the time after which the suspended time is measured even if nothing
-	// hints at it: one system call a second.
-	measureAgain = time.Second
+	// minSuspension is the shortest measurable suspension, as the clocks are read one after the other.
+	minSuspension = 5 * time.Millisecond
+	// measureInterval is the maximum time between two measurements of the suspended time.
+	measureInterval = time.Second
 )
 
-// clock is the steady clock of the process, together with the time for which the machine was
-// suspended.
+// clock is a monotonic clock that includes the time for which the machine was suspended.
 //
-// Reading the clock that counts suspended time is a system call, which each of the dozen
-// readings of a request would pay. The time of day counts suspended time as well and comes
-// with each reading; it may be set by anybody and is never believed, but when it has moved
-// against the steady clock it is time to measure.
+// Reading CLOCK_BOOTTIME is a system call, too slow for every reading. The wall clock also advances
+// during a suspension and is read together with the monotonic clock. It may be set at any time, so it
+// is not used as a time, but a change against the monotonic clock triggers a measurement.
 type clock struct {
-	base time.Time // base is the start, with the steady clock's reading.
-	// read returns how far the steady clock and the time of day have gone on since then.
-	read func() (steady, day time.Duration)
-	// boot returns how far the clock has gone on that counts suspended time.
+	start time.Time // start is the time of creation, with its monotonic reading.
+	// read returns the monotonic and the wall clock time since start.
+	read func() (monotonic, wall time.Duration)
+	// boot returns the time since start including suspended time.
 	boot func() time.Duration
 
-	suspended atomic.Int64 // suspended is for how long the machine was suspended since the start.
-	drift     atomic.Int64 // drift is by how much the time of day had moved against the steady clock when it was measured.
-	measured  atomic.Int64 // measured is when that was, on the steady clock.
+	suspended  atomic.Int64 // suspended is the total suspended time since start.
+	wallOffset atomic.Int64 // wallOffset is the wall clock minus the monotonic clock at the last measurement.
+	measuredAt atomic.Int64 // measuredAt is the monotonic time of the last measurement.
 
 	mu      sync.Mutex
-	pending map[*pending]struct{}
+	pending map[*pendingCall]struct{}
 }
 
-// pending is a call that After owes.
-type pending struct {
+// pendingCall is a call scheduled by after.
+type pendingCall struct {
 	due   time.Time
 	timer *time.Timer
 }
 
-// machine is the clock of this process.
-var machine = newMachine()
+// systemClock is the clock of this process.
+var systemClock = newSystemClock()
 
-func newMachine() *clock {
-	base, boot := time.Now(), bootTime()
-	read := func() (steady, day time.Duration) {
+func newSystemClock() *clock {
+	start, boot := time.Now(), bootTime()
+	read := func() (monotonic, wall time.Duration) {
 		t := time.Now()
-		return t.Sub(base), time.Duration(t.UnixNano() - base.UnixNano())
+		return t.Sub(start), time.Duration(t.UnixNano() - start.UnixNano())
 	}
-	return newClock(base, read, func() time.Duration { return bootTime() - boot })
+	return newClock(start, read, func() time.Duration { return bootTime() - boot })
 }
 
-func newClock(base time.Time, read func() (steady, day time.Duration), boot func() time.Duration) *clock {
-	return &clock{base: base, read: read, boot: boot, pending: make(map[*pending]struct{})}
+func newClock(start time.Time, read func() (monotonic, wall time.Duration), boot func() time.Duration) *clock {
+	return &clock{start: start, read: read, boot: boot, pending: make(map[*pendingCall]struct{})}
 }
 
-// bootTime reads the clock that counts suspended time. It cannot fail on Linux from 2.6.39 on;
-// elsewhere a machine counts as never suspended.
+// bootTime reads CLOCK_BOOTTIME. Without it, the machine counts as never suspended.
 func bootTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
@@ -74,37 +69,37 @@
 	return time.Duration(ts.Nano())
 }
 
-// now returns the time, which goes on while the machine is suspended.
+// now returns the current time including suspended time.
 func (c *clock) now() time.Time {
-	steady, day := c.read()
-	drift := day - steady
-	moved := drift - time.Duration(c.drift.Load())
-	if moved.Abs() >= leastSuspension || steady-time.Duration(c.measured.Load()) >= measureAgain {
-		c.measure(steady, drift)
+	monotonic, wall := c.read()
+	offset := wall - monotonic
+	moved := offset - time.Duration(c.wallOffset.Load())
+	if moved.Abs() >= minSuspension || monotonic-time.Duration(c.measuredAt.Load()) >= measureInterval {
+		c.measure(monotonic, offset)
 	}
-	return c.base.Add(steady + time.Duration(c.suspended.Load()))
+	return c.start.Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
-// measure finds out for how long the machine was suspended.
-func (c *clock) measure(steady, drift time.Duration) {
+// measure updates the suspended time, and reschedules the pending calls if it has grown.
+func (c *clock) measure(monotonic, offset time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drift.Store(int64(drift))
-	c.measured.Store(int64(steady))
-	suspended := c.boot() - steady
-	if suspended-time.Duration(c.suspended.Load()) < leastSuspension {
+	c.wallOffset.Store(int64(offset))
+	c.measuredAt.Store(int64(monotonic))
+	suspended := c.boot() - monotonic
+	if suspended-time.Duration(c.suspended.Load()) < minSuspension {
 		return
 	}
 	c.suspended.Store(int64(suspended))
-	now := c.base.Add(steady + suspended)
+	now := c.start.Add(monotonic + suspended)
 	for p := range c.pending {
-		p.timer.Reset(max(0, p.due.Sub(now))) // the runtime's timer stood still
+		p.timer.Reset(max(0, p.due.Sub(now))) // runtime timers do not advance during a suspension
 	}
 }
 
-// after calls f once when d has passed. The returned function cancels.
+// after calls f once after d. The returned function cancels the call.
 func (c *clock) after(d time.Duration, f func(now time.Time)) func() {
-	p := &pending{due: c.now().Add(d)}
+	p := &pendingCall{due: c.now().Add(d)}
 	done := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/timer/clock_test.go
+++ b/timer/clock_test.go
@@ -11,77 +11,77 @@
 	"gotest.tools/v3/assert"
 )
 
-// twoClocks are a steady clock with the time of day, and one that counts suspended time.
-type twoClocks struct {
-	steady time.Duration
-	boot   time.Duration
-	set    time.Duration // set is by how much the time of day was set.
-	asked  int           // asked counts readings of boot.
+// fakeClocks simulates the monotonic clock, the wall clock and CLOCK_BOOTTIME.
+type fakeClocks struct {
+	monotonic  time.Duration
+	boot       time.Duration
+	wallOffset time.Duration // wallOffset is by how much the wall clock was set.
+	bootReads  int           // bootReads counts the readings of boot.
 }
 
-func (c *twoClocks) clock() *clock {
-	read := func() (steady, day time.Duration) { return c.steady, c.boot + c.set }
-	return newClock(time.Now(), read, func() time.Duration { c.asked++; return c.boot })
+func (c *fakeClocks) clock() *clock {
+	read := func() (monotonic, wall time.Duration) { return c.monotonic, c.boot + c.wallOffset }
+	return newClock(time.Now(), read, func() time.Duration { c.bootReads++; return c.boot })
 }
 
-func (c *twoClocks) pass(d time.Duration)    { c.steady += d; c.boot += d }
-func (c *twoClocks) suspend(d time.Duration) { c.boot += d }
+func (c *fakeClocks) advance(d time.Duration) { c.monotonic += d; c.boot += d }
+func (c *fakeClocks) suspend(d time.Duration) { c.boot += d }
 
-// TestSuspendedTimeCounts: the time goes on by a suspension, not by a step of the time of day,
-// and the dear clock is read only where something hints at one.
+// TestSuspendedTimeCounts checks that the time advances by a suspension but not by setting the wall clock,
+// and that CLOCK_BOOTTIME is read only if a suspension is likely.
 func TestSuspendedTimeCounts(t *testing.T) {
-	both := &twoClocks{}
-	c := both.clock()
-	since := func() time.Duration { return c.now().Sub(c.base) }
-	both.pass(300 * time.Millisecond)
+	clocks := &fakeClocks{}
+	c := clocks.clock()
+	since := func() time.Duration { return c.now().Sub(c.start) }
+	clocks.advance(300 * time.Millisecond)
 	assert.Equal(t, since(), 300*time.Millisecond)
-	before := both.asked
+	before := clocks.bootReads
 	for range 100 {
-		both.pass(time.Millisecond)
+		clocks.advance(time.Millisecond)
 		c.now()
 	}
-	assert.Equal(t, both.asked, before, "nothing hints at a suspension")
+	assert.Equal(t, clocks.bootReads, before, "nothing hints at a suspension")
 
-	both.suspend(4 * time.Second)
+	clocks.suspend(4 * time.Second)
 	assert.Equal(t, since(), 4400*time.Millisecond)
-	both.pass(100 * time.Millisecond)
+	clocks.advance(100 * time.Millisecond)
 	assert.Equal(t, since(), 4500*time.Millisecond)
-	both.suspend(time.Second)
-	both.suspend(time.Second)
+	clocks.suspend(time.Second)
+	clocks.suspend(time.Second)
 	assert.Equal(t, since(), 6500*time.Millisecond)
 
-	both.set = -2 * time.Hour
+	clocks.wallOffset = -2 * time.Hour
 	assert.Equal(t, since(), 6500*time.Millisecond)
-	both.set = 3 * time.Second
-	both.pass(time.Second)
+	clocks.wallOffset = 3 * time.Second
+	clocks.advance(time.Second)
 	assert.Equal(t, since(), 7500*time.Millisecond)
-	both.set -= 2 * time.Second // set back just while the machine is suspended
-	both.suspend(2 * time.Second)
-	both.pass(measureAgain)
+	clocks.wallOffset -= 2 * time.Second // set back during a suspension
+	clocks.suspend(2 * time.Second)
+	clocks.advance(measureInterval)
 	assert.Equal(t, since(), 10500*time.Millisecond)
 }
 
-// TestCallsComeAfterWaking: what fell due while the machine was suspended comes at once, and
-// what did not is nearer.
+// TestCallsComeAfterWaking checks that calls that became due during a suspension run at once, and that
+// later ones run earlier by the suspended time.
 func TestCallsComeAfterWaking(t *testing.T) {
-	both := &twoClocks{}
-	c := both.clock()
+	clocks := &fakeClocks{}
+	c := clocks.clock()
 	came := make(chan string, 3)
 	c.after(time.Hour, func(time.Time) { came <- "due" })
 	c.after(3*time.Hour, func(time.Time) { came <- "later" })
 	stop := c.after(time.Hour, func(time.Time) { came <- "stopped" })
 	stop()
-	both.suspend(2 * time.Hour)
+	clocks.suspend(2 * time.Hour)
 	c.now()
 	assert.Equal(t, <-came, "due")
-	both.suspend(2 * time.Hour)
+	clocks.suspend(2 * time.Hour)
 	c.now()
 	assert.Equal(t, <-came, "later")
 	assert.Equal(t, len(c.pending), 0)
 }
 
-// TestWithDeadline: the deadline's end can be told from the parent's, also by those who see a
-// child only.
+// TestWithDeadline checks that an expired deadline can be told from a canceled parent, also through a child
+// context.
 func TestWithDeadline(t *testing.T) {
 	m := NewManual(time.Unix(1000, 0))
 	ctx, cancel := WithDeadline(t.Context(), m, m.Now().Add(time.Second))
@@ -107,15 +107,14 @@
 	assert.Equal(t, ctx.Err(), context.DeadlineExceeded)
 }
 
-// BenchmarkNow is what each reading of the time costs: 60 ns, where the standard library's
-// took 48 ns.
+// BenchmarkNow measures a reading of the clock.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
-		machine.now()
+		systemClock.now()
 	}
 }
 
-// BenchmarkStandardNow is the standard library's reading.
+// BenchmarkStandardNow measures time.Now for comparison.
 func BenchmarkStandardNow(b *testing.B) {
 	for b.Loop() {
 		_ = time.Now()
--- a/timer/deadline.go
+++ b/timer/deadline.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// WithDeadline returns a context that ends at a time of a service, which counts the time for
-// which the machine is suspended, or with its parent.
+// WithDeadline returns a context that is done at the given time of s, which includes suspended time, or when
+// its parent is.
 func WithDeadline(parent context.Context, s Service, at time.Time) (context.Context, context.CancelFunc) {
 	left := at.Sub(s.Now())
 	ctx, cancel := context.WithCancelCause(parent)
@@ -25,10 +25,10 @@
 	}
 }
 
-// deadline is a context that can tell its own end from its parent's.
+// deadline is a context that distinguishes its own expiry from its parent's end.
 type deadline struct {
 	context.Context
-	at time.Time // at is by the standard library's clock.
+	at time.Time // at is on the clock of time.Now.
 }
 
 // Deadline implements context.Context.
--- a/timer/manual.go
+++ b/timer/manual.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Manual is a service whose time moves only when a test advances it.
+// Manual is a Service whose time advances only through Advance, for tests.
 type Manual struct {
 	mu   sync.Mutex
 	now  time.Time
@@ -25,7 +25,7 @@
 	cancelled bool
 }
 
-// NewManual returns a service that starts at the given time.
+// NewManual returns a Manual service that starts at the given time.
 func NewManual(start time.Time) *Manual { return &Manual{now: start} }
 
 // Now implements Service.
@@ -59,7 +59,7 @@
 	}
 }
 
-// Advance moves the time by d and runs all that falls due, in order.
+// Advance advances the time by d and runs all calls that become due, in order.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	end := m.now.Add(d)
--- a/timer/system.go
+++ b/timer/system.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// System is the service on the machine's clocks. Its zero value is ready. All of them tell
-// the same time.
+// System is the Service on the machine's clocks. Its zero value is ready for use. All values share one
+// clock.
 type System struct{}
 
-// NewSystem returns the service on the machine's clocks.
+// NewSystem returns the System service.
 func NewSystem() System { return System{} }
 
 // Now implements Service.
-func (System) Now() time.Time { return machine.now() }
+func (System) Now() time.Time { return systemClock.now() }
 
 // After implements Service. f runs in its own goroutine.
-func (System) After(d time.Duration, f func(now time.Time)) func() { return machine.after(d, f) }
+func (System) After(d time.Duration, f func(now time.Time)) func() { return systemClock.after(d, f) }
 
 // Every implements Service. Calls to f do not overlap; ticks that fall due
 // while f runs are dropped. It panics if d is not positive.
@@ -30,7 +30,7 @@
 		for {
 			select {
 			case <-t.C:
-				f(machine.now())
+				f(systemClock.now())
 			case <-done:
 				return
 			}
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,42 +1,41 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package timer is the process's source of time. Parts subscribe to it
-// instead of reading the clock or sleeping, so that tests drive time by hand.
+// Package timer is the process's source of time. Other packages use a Service
+// instead of reading the clock or sleeping, so that tests can control the time.
 //
 // # Suspended machines
 //
-// While a machine is suspended its steady clock stands still, and so do the runtime's
-// timers; other machines go on. Whatever ends by that clock (a lease, the age of what
-// another host said, a deadline) would be believed to hold longer than it does. System
-// counts that time: Now goes on by it, and what After waits for comes as soon as the machine
-// wakes if it fell due meanwhile. So a suspension looks to all parts like a process that
-// stood still with its clock going on, which they know how to bear.
+// While a machine is suspended, its monotonic clock and the runtime's timers stop, but
+// the time of other machines goes on. A lease or deadline measured on the monotonic
+// clock would seem to last longer than it does. System includes the suspended time: Now
+// advances by it, and calls scheduled by After that became due run as soon as the
+// machine resumes. A suspension thus looks like a pause of the process only.
 //
-// Times of this service must not be compared with those of the standard library: they
-// differ by the time for which the machine has been suspended.
+// Times of a Service must not be compared with those of time.Now: they differ by the
+// suspended time.
 //
 // # Usage
 //
 //	s := timer.NewSystem()
 //	stop := s.Every(time.Second, func(now time.Time) { ... })
 //	defer stop()
-//	ctx, cancel := timer.WithDeadline(ctx, s, s.Now().Add(patience))
+//	ctx, cancel := timer.WithDeadline(ctx, s, s.Now().Add(timeout))
 //
 // In tests:
 //
 //	m := timer.NewManual(start)
-//	m.Advance(3 * time.Second) // runs what fell due, in order of time
+//	m.Advance(3 * time.Second) // runs the calls that became due, in order
 package timer
 
 import "time"
 
-// Service tells the time and calls subscribers when it has come.
+// Service is a clock that also schedules calls.
 type Service interface {
-	// Now returns the present time with its monotonic reading.
+	// Now returns the current time with its monotonic reading.
 	Now() time.Time
-	// After calls f once when d has passed. The returned function cancels.
+	// After calls f once after d. The returned function cancels the call.
 	After(d time.Duration, f func(now time.Time)) (cancel func())
-	// Every calls f each time d has passed. The returned function cancels.
+	// Every calls f at each interval d. The returned function stops the calls.
 	Every(d time.Duration, f func(now time.Time)) (cancel func())
 }
