--- a/loader/settings.go
+++ b/loader/settings.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package loader reads the settings of one process. Settings are JSON with
-// comments; every fault is reported with its line before anything listens.
+// Package loader parses and validates the settings of one process. Settings are
+// JSON with comments; all faults are reported together, each with its line.
 //
 // # Usage
 //
@@ -22,20 +22,20 @@
 	"amaranthgate.example/amaranthgate/internal/strictjson"
 )
 
-// minSecretBytes is the least length of the secret that peers share.
+// minSecretBytes is the minimum length of PeerSecret and BlockSecret.
 const minSecretBytes = 16
 
-// Settings are what one process must know before it can ask anybody.
+// Settings are the local settings of one process.
 type Settings struct {
 	Host             string
 	AvailabilityZone string
-	Callers          Endpoint  // Callers is where callers connect.
-	Peers            Endpoint  // Peers is where other hosts connect.
-	Operators        Endpoint  // Operators is where the console and the state dump answer.
-	PeerSecret       string    // PeerSecret proves that a peer belongs to the deployment.
-	BlockSecret      string    // BlockSecret keys the names of kept context.
+	Callers          Endpoint  // Callers is the listener for callers.
+	Peers            Endpoint  // Peers is the listener for other hosts.
+	Operators        Endpoint  // Operators is the listener for the console and the state dump.
+	PeerSecret       string    // PeerSecret authenticates the hosts of the deployment to each other.
+	BlockSecret      string    // BlockSecret keys the hashes that name blocks of kept context.
 	OperatorDigests  []string  `json:",omitempty"` // OperatorDigests are SHA-256 digests of operators' tokens.
-	Platform         *Platform `json:",omitempty"` // Platform is set where the host runs on the users' platform; Log and HostList are then unused.
+	Platform         *Platform `json:",omitempty"` // Platform, if set, replaces Log and HostList.
 	Log              string    // Log is the URL of the platform's append-only log.
 	HostList         string    // HostList is the URL of the platform's host list.
 	Limits           Limits
@@ -43,33 +43,33 @@
 	LogLevel         string
 }
 
-// Platform says how to use the users' platform.
+// Platform configures the use of the users' platform.
 type Platform struct {
 	Store      string            // Store is the IP:port of the platform's store.
-	LinkMbps   float64           // LinkMbps is the width of this host's own link; the widest relay for others.
-	Cores      float64           // Cores is how many processor cores this host may use, 0.4 for two fifths of one; 0 if that is not known.
-	FirstStart bool              // FirstStart tells that all hosts start for the first time; they find each other before they ask the store for more.
-	Regions    map[string]string // Regions has the region of each availability zone.
-	Ready      Endpoint          // Ready is where the platform asks whether this host takes callers.
-	Directory  Endpoint          // Directory is where callers ask for addresses.
-	RetryShare float64           // RetryShare is the share of requests to a service that all hosts may send once more.
-	RetrySlack float64           // RetrySlack is the number of such retries beyond the share, in one window of the platform.
-	Lease      duration.Duration // Lease is the time within which orders of two hosts to one upstream clash.
-	// WeightsWithin is the time after which no request may begin on replaced weights.
+	LinkMbps   float64           // LinkMbps is the bandwidth of this host's link; the fastest hosts relay for others.
+	Cores      float64           // Cores is the number of CPU cores available, possibly a fraction; 0 if unknown.
+	FirstStart bool              // FirstStart makes hosts discover each other before they make other store calls.
+	Regions    map[string]string // Regions maps availability zones to regions.
+	Ready      Endpoint          // Ready is the listener for the platform's readiness checks.
+	Directory  Endpoint          // Directory is the listener for address queries of callers.
+	RetryShare float64           // RetryShare is the fraction of a service's requests that all hosts together may retry.
+	RetrySlack float64           // RetrySlack is the number of further retries allowed per window of the platform.
+	Lease      duration.Duration // Lease is the minimum time between orders of two hosts to one upstream.
+	// WeightsWithin is the time after which no request may start on replaced weights.
 	WeightsWithin duration.Duration
-	ColdOverage   float64 // ColdOverage multiplies what a service allows for a cold upstream a second; all hosts together stay under it.
-	ColdSlack     float64 // ColdSlack is added to that.
-	LoadsAtOnce   int     // LoadsAtOnce is the least number of engines that load weights at the same time.
-	LoadsShare    float64 // LoadsShare is the part of all engines that may do so, where that is more.
+	ColdOverage   float64 // ColdOverage multiplies the rate limit of a cold upstream, which all hosts share.
+	ColdSlack     float64 // ColdSlack is added to the multiplied limit.
+	LoadsAtOnce   int     // LoadsAtOnce is the minimum number of engines that may load weights concurrently.
+	LoadsShare    float64 // LoadsShare is the fraction of all engines that may do so, if that is more.
 }
 
-// Endpoint is a listening address and the one that others are told.
+// Endpoint is a listening address with the address advertised to others.
 type Endpoint struct {
-	Listen    string // Listen is IP:port; port 0 lets the system pick.
-	Advertise string // Advertise is IP:port; empty means the address bound.
+	Listen    string // Listen is IP:port; port 0 selects a free port.
+	Advertise string // Advertise is IP:port; empty means the bound address.
 }
 
-// Limits bound what one caller can take of this process.
+// Limits bound the resources that callers can use.
 type Limits struct {
 	BodyBytes   int64
 	HeaderBytes int
@@ -77,23 +77,23 @@
 	ReadTimeout duration.Duration
 }
 
-// Timing are the intervals of the control plane.
+// Timing holds the intervals and timeouts of the control plane.
 type Timing struct {
 	Heartbeat     duration.Duration // Heartbeat is the interval between messages to a peer.
 	Suspect       duration.Duration // Suspect is the silence after which a host gets no new work.
-	Lease         duration.Duration // Lease is the time for which a lease is held without renewal.
-	LeaseMargin   duration.Duration // LeaseMargin is taken off by the holder.
-	GroupCommit   duration.Duration // GroupCommit is the least time between appends to one stream.
-	AddressTTL    duration.Duration // AddressTTL is how long callers may keep an address.
+	Lease         duration.Duration // Lease is the term of a lease without renewal.
+	LeaseMargin   duration.Duration // LeaseMargin is subtracted from the term by the holder.
+	GroupCommit   duration.Duration // GroupCommit is the minimum time between appends to one stream.
+	AddressTTL    duration.Duration // AddressTTL is how long callers may cache an address.
 	LoadPoll      duration.Duration // LoadPoll is the interval between load reports.
 	DrainTimeout  duration.Duration // DrainTimeout bounds a graceful shutdown.
-	LogRetention  duration.Duration // LogRetention is how long the platform keeps records.
+	LogRetention  duration.Duration // LogRetention is how long the platform keeps log records.
 	LogTimeout    duration.Duration // LogTimeout bounds one call to the log.
-	FirstToken    duration.Duration // FirstToken is the wait for response headers before an attempt fails.
-	TokenInterval duration.Duration // TokenInterval is the silence within a stream after which an attempt fails.
+	FirstToken    duration.Duration // FirstToken is the timeout for response headers.
+	TokenInterval duration.Duration // TokenInterval is the timeout between two parts of a streamed response.
 }
 
-// Default returns settings in which only names, secrets and URLs are missing.
+// Default returns the default settings, without names, secrets and URLs.
 func Default() Settings {
 	d := func(v time.Duration) duration.Duration { return duration.Duration(v) }
 	loopback := Endpoint{Listen: "127.0.0.1:0"}
@@ -125,7 +125,7 @@
 	}
 }
 
-// Parse reads settings over the defaults and returns every fault.
+// Parse parses settings over the defaults and returns all faults.
 func Parse(text []byte) (Settings, []strictjson.Fault) {
 	s := Default()
 	src, faults := strictjson.Decode(text, &s)
@@ -149,7 +149,7 @@
 	}
 }
 
-// Validate returns everything that is wrong with the values of s.
+// Validate returns all faults in the values of s.
 func (s *Settings) Validate() []strictjson.Fault {
 	v := &validator{}
 	v.check(s.Host != "", "/Host", "want the name of this host")
@@ -157,7 +157,7 @@
 	v.endpoint("/Callers", s.Callers)
 	v.endpoint("/Peers", s.Peers)
 	v.endpoint("/Operators", s.Operators)
-	v.distinct(s)
+	v.distinctListeners(s)
 	v.check(len(s.PeerSecret) >= minSecretBytes, "/PeerSecret", "want at least %d bytes", minSecretBytes)
 	v.check(len(s.BlockSecret) >= minSecretBytes, "/BlockSecret", "want at least %d bytes", minSecretBytes)
 	v.check(s.BlockSecret == "" || s.BlockSecret != s.PeerSecret, "/BlockSecret", "must differ from PeerSecret")
@@ -219,8 +219,8 @@
 	v.check(p.Lease > 0, "/Platform/Lease", "want more than 0")
 }
 
-// distinct checks that no fixed listening address stands twice.
-func (v *validator) distinct(s *Settings) {
+// distinctListeners checks that no two listeners have the same address and port.
+func (v *validator) distinctListeners(s *Settings) {
 	type listener struct{ pointer, listen string }
 	all := []listener{{"/Callers/Listen", s.Callers.Listen}, {"/Peers/Listen", s.Peers.Listen}, {"/Operators/Listen", s.Operators.Listen}}
 	if p := s.Platform; p != nil {
@@ -232,7 +232,7 @@
 		if err != nil || a.Port() == 0 {
 			continue
 		}
-		v.check(seen[a] == "", e.pointer, "%s is taken by %s", e.listen, seen[a])
+		v.check(seen[a] == "", e.pointer, "%s is already used by %s", e.listen, seen[a])
 		seen[a] = e.pointer
 	}
 }
@@ -242,7 +242,7 @@
 	v.check(err == nil && u.Scheme == "http" && u.Host != "", p, "%q is not an http URL", text)
 }
 
-// redacted stands in dumps for values that are set and secret.
+// redacted replaces non-empty secrets in dumps.
 const redacted = "(set)"
 
 // Redacted returns a copy of s without secrets.
--- a/loader/settings_test.go
+++ b/loader/settings_test.go
@@ -13,8 +13,8 @@
 	"amaranthgate.example/amaranthgate/internal/strictjson"
 )
 
-// sound returns settings without a fault.
-func sound() Settings {
+// validSettings returns settings without faults.
+func validSettings() Settings {
 	s := Default()
 	s.Host, s.AvailabilityZone = "host", "zone"
 	s.PeerSecret, s.BlockSecret = "0123456789abcdef0", "0123456789abcdef1"
@@ -22,7 +22,7 @@
 	return s
 }
 
-// TestFaults lays faulty members over sound settings: all of them are told at once.
+// TestFaults overrides members of valid settings with faulty ones, and checks that all faults are reported.
 func TestFaults(t *testing.T) {
 	text, err := os.ReadFile("testdata/faults.jsonc")
 	assert.NilError(t, err)
@@ -35,7 +35,7 @@
 	assert.Equal(t, len(faults), 0, "%v", faults)
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
-			b, err := json.Marshal(sound())
+			b, err := json.Marshal(validSettings())
 			assert.NilError(t, err)
 			members := make(map[string]json.RawMessage)
 			assert.NilError(t, json.Unmarshal(b, &members))
@@ -54,10 +54,9 @@
 	}
 }
 
-// FuzzParse feeds anything that a settings file could hold. What is taken must be
-// taken again after it was written out.
+// FuzzParse checks that accepted settings are accepted again after marshaling.
 func FuzzParse(f *testing.F) {
-	b, err := json.Marshal(sound())
+	b, err := json.Marshal(validSettings())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -75,7 +74,7 @@
 			t.Fatal(err)
 		}
 		if _, faults := Parse(b); len(faults) > 0 {
-			t.Fatalf("settings that were taken are refused when written out: %v", faults)
+			t.Fatalf("accepted settings are rejected after marshaling: %v", faults)
 		}
 	})
 }
