--- a/logger/kinds.go
+++ b/logger/kinds.go
@@ -3,7 +3,7 @@
 
 package logger
 
-// Kinds of lines, the values of the member "message".
+// Events, the values of the member "message".
 const (
 	Started              = "Started"
 	Listening            = "Listening"
@@ -47,7 +47,7 @@
 	PageFailed           = "PageFailed"
 )
 
-// Kinds lists all of them.
+// Kinds lists all events.
 var Kinds = []string{
 	Started, Listening, ListenerEnded, Draining, Stopped, SettingsReloaded, ReloadRefused,
 	UpstreamChosen, RequestEnded, UpstreamEnded, RequestBarred, BarLifted, BarUnnoted, BarUnread, LinesLeftOut,
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -11,28 +11,26 @@
 	"github.com/rs/zerolog"
 )
 
-// Bounds of the lines of requests, a second and host. A host of the size to design
-// for takes 18 requests a second at the peak, which are 36 routine lines of 300 bytes.
+// Maximum lines per second and host.
 const (
 	RoutineLines = 200
 	FailureLines = 300
-	// BeliefLines bounds lines about records and hosts that change what is believed. A host
-	// that starts in a fleet of 300 before 3,000 upstreams would write 3,300 within 0.3 s,
-	// which is when callers come back.
-	BeliefLines = 60
+	// StateChangeLines limits lines about records and hosts. A host that starts in a large fleet learns of
+	// thousands at once.
+	StateChangeLines = 60
 )
 
-// Logger writes lines. It is safe for concurrent use.
+// Logger writes log lines. It is safe for concurrent use.
 type Logger struct {
 	zerolog.Logger
-	routine zerolog.Logger
-	failure zerolog.Logger
-	belief  zerolog.Logger
-	left    atomic.Uint64 // left counts lines that were left out.
-	said    atomic.Uint64 // said is how many of them a line has told of.
+	routine     zerolog.Logger
+	failure     zerolog.Logger
+	stateChange zerolog.Logger
+	omitted     atomic.Uint64 // omitted counts omitted lines.
+	reported    atomic.Uint64 // reported is the part of omitted that Account has logged.
 }
 
-// New returns a logger at a level that zerolog knows; an unknown one stands for info.
+// New returns a logger at a zerolog level; an unknown level means info.
 func New(w io.Writer, level string) *Logger {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -41,44 +39,44 @@
 	return From(zerolog.New(w).Level(l).With().Timestamp().Logger())
 }
 
-// From bounds the lines of a logger.
+// From returns a logger that writes to base and limits the rate of its lines.
 func From(base zerolog.Logger) *Logger {
 	l := &Logger{Logger: base}
-	l.routine = base.Sample(l.bound(RoutineLines))
-	l.failure = base.Sample(l.bound(FailureLines))
-	l.belief = base.Sample(l.bound(BeliefLines))
+	l.routine = base.Sample(l.sampler(RoutineLines))
+	l.failure = base.Sample(l.sampler(FailureLines))
+	l.stateChange = base.Sample(l.sampler(StateChangeLines))
 	return l
 }
 
-// Routine begins a line of a request that goes well.
+// Routine begins a line about a successful request.
 func (l *Logger) Routine() *zerolog.Event { return l.routine.Info() }
 
-// Failure begins a line of a request that failed or was late.
+// Failure begins a line about a request that failed or was late.
 func (l *Logger) Failure() *zerolog.Event { return l.failure.Info() }
 
-// Belief begins a line about one of many records or hosts that are news.
-func (l *Logger) Belief() *zerolog.Event { return l.belief.Info() }
+// Belief begins a line about a change in the known records or hosts.
+func (l *Logger) Belief() *zerolog.Event { return l.stateChange.Info() }
 
-// LeftOut returns the number of lines that were left out.
-func (l *Logger) LeftOut() uint64 { return l.left.Load() }
+// LeftOut returns the number of omitted lines.
+func (l *Logger) LeftOut() uint64 { return l.omitted.Load() }
 
-// Account says how many lines were left out since it was last called, if any were.
+// Account logs the number of lines omitted since its last call, if any.
 func (l *Logger) Account() {
-	left := l.left.Load()
-	if n := left - l.said.Swap(left); n > 0 {
+	left := l.omitted.Load()
+	if n := left - l.reported.Swap(left); n > 0 {
 		l.Info().Uint64("Lines", n).Msg(LinesLeftOut)
 	}
 }
 
-// counter is the last sampler of a chain: it lets nothing pass and counts.
-type counter struct{ n *atomic.Uint64 }
+// countingSampler omits and counts all lines.
+type countingSampler struct{ n *atomic.Uint64 }
 
 // Sample implements zerolog.Sampler.
-func (c counter) Sample(zerolog.Level) bool {
+func (c countingSampler) Sample(zerolog.Level) bool {
 	c.n.Add(1)
 	return false
 }
 
-func (l *Logger) bound(lines uint32) zerolog.Sampler {
-	return &zerolog.BurstSampler{Burst: lines, Period: time.Second, NextSampler: counter{&l.left}}
+func (l *Logger) sampler(lines uint32) zerolog.Sampler {
+	return &zerolog.BurstSampler{Burst: lines, Period: time.Second, NextSampler: countingSampler{&l.omitted}}
 }
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestVolumeIsBounded: a flood of good requests neither grows the log without bound
-// nor hides failures, and what is missing is counted.
+// TestVolumeIsBounded checks that many successful requests neither exceed the limit nor displace failures,
+// and that omitted lines are counted.
 func TestVolumeIsBounded(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, "info")
@@ -31,7 +31,7 @@
 	assert.Equal(t, strings.Count(text, LinesLeftOut), 1)
 }
 
-// TestPageListsKinds: docs/LOGS.md has a row for each kind and for nothing else.
+// TestPageListsKinds checks that docs/LOGS.md has a row for each event and no others.
 func TestPageListsKinds(t *testing.T) {
 	page, err := os.ReadFile("../docs/LOGS.md")
 	assert.NilError(t, err)
