--- a/follower/evacuation.go
+++ b/follower/evacuation.go
@@ -5,53 +5,53 @@
 
 import "time"
 
-// Evacuation is the operators' word that an availability zone is to be emptied: its
-// upstreams are sent nothing new until it is taken back.
+// Evacuation is an operator's order to drain an availability zone: its upstreams get no
+// new requests until the evacuation ends.
 type Evacuation struct {
 	AvailabilityZone string
-	Over             bool // Over tells that the zone is taken back.
+	Over             bool // Over reports that the evacuation has ended.
 }
 
-// evacuations is what is known of each availability zone that was ever evacuated.
+// evacuations holds the latest evacuation of each availability zone that ever had one.
 type evacuations map[string]evacuation
 
 type evacuation struct {
-	offset int64
-	over   time.Time // over is when this host heard that the zone is taken back; zero while it is evacuated.
+	offset  int64
+	endedAt time.Time // endedAt is when this host learned of the end; zero while the zone is evacuated.
 }
 
-// put takes in what a record says and reports whether that changes anything. Records are
-// told by several hosts: an older one changes nothing.
-func (e evacuations) put(now time.Time, v Evacuation, offset int64) bool {
-	had, known := e[v.AvailabilityZone]
-	if known && offset <= had.offset || !known && v.Over {
+// apply applies a record and reports whether anything changed. Several hosts pass records
+// on, so that older ones are ignored.
+func (e evacuations) apply(now time.Time, ev Evacuation, offset int64) bool {
+	current, known := e[ev.AvailabilityZone]
+	if known && offset <= current.offset || !known && ev.Over {
 		return false
 	}
-	next := evacuation{offset: offset}
-	if v.Over {
-		next.over = now
+	updated := evacuation{offset: offset}
+	if ev.Over {
+		updated.endedAt = now
 	}
-	e[v.AvailabilityZone] = next
-	return !known || had.over.IsZero() != next.over.IsZero()
+	e[ev.AvailabilityZone] = updated
+	return !known || current.endedAt.IsZero() != updated.endedAt.IsZero()
 }
 
-// evacuated returns the zones that are to be sent nothing.
+// evacuated returns the zones that are evacuated now.
 func (e evacuations) evacuated() map[string]bool {
 	out := make(map[string]bool)
-	for zone, had := range e {
-		if had.over.IsZero() {
+	for zone, ev := range e {
+		if ev.endedAt.IsZero() {
 			out[zone] = true
 		}
 	}
 	return out
 }
 
-// returned returns when each zone that was evacuated was taken back.
-func (e evacuations) returned() map[string]time.Time {
+// endTimes returns when each past evacuation ended, by zone.
+func (e evacuations) endTimes() map[string]time.Time {
 	out := make(map[string]time.Time)
-	for zone, had := range e {
-		if !had.over.IsZero() {
-			out[zone] = had.over
+	for zone, ev := range e {
+		if !ev.endedAt.IsZero() {
+			out[zone] = ev.endedAt
 		}
 	}
 	return out
--- a/follower/state.go
+++ b/follower/state.go
@@ -12,59 +12,59 @@
 	"amaranthgate.example/amaranthgate/matcher"
 )
 
-// lapseGrace is how long after the store's return a lapsed entry still counts:
-// upstreams that live have renewed theirs within two seconds.
-const lapseGrace = 2 * time.Second
+// lapseGracePeriod is how long lapsed entries are kept after the store has recovered: long enough
+// for live upstreams to renew theirs.
+const lapseGracePeriod = 2 * time.Second
 
-// State is what one host believes. It is not safe for concurrent use.
+// State is the mutable state of one host's view. It is not safe for concurrent use.
 type State struct {
-	table     *matcher.Table
-	named     map[string]Named
-	recalled  map[string][]Named // recalled are namings that other hosts remember, by model.
-	current   time.Time          // current is up to when the operators' feed is known.
-	emptied   evacuations
-	upstreams map[string]*entry
-	list      Upstreams            // list has those of upstreams whose service the table knows, as last published.
-	dirty     map[string]*Upstream // dirty are changes of list that were not published yet.
-	weights   sharedWeights
-	lapsed    int       // lapsed is how many of them have lapsed.
-	listed    bool      // listed tells that a whole listing of the upstreams was taken in.
-	away      bool      // away tells that the store's last answer was a failure.
-	returned  time.Time // returned is when the store answered again after a failure.
+	table            *matcher.Table
+	named            map[string]Named
+	peerNamings      map[string][]Named // peerNamings holds versions reported by other hosts, by model.
+	currentUntil     time.Time          // currentUntil is the time up to which the operators' feed is known.
+	evacuations      evacuations
+	upstreams        map[string]*entry
+	list             Upstreams            // list holds the upstreams of configured services, as last published.
+	dirty            map[string]*Upstream // dirty holds unpublished changes of list; nil values are removals.
+	weights          weightsInterner
+	lapsedCount      int       // lapsedCount is the number of upstreams whose entry has lapsed.
+	listed           bool      // listed reports whether a complete listing of the upstreams was applied.
+	storeFailing     bool      // storeFailing reports whether the last call to the store failed.
+	storeRecoveredAt time.Time // storeRecoveredAt is when the store last answered after a failure.
 }
 
-// entry is an upstream with what is known of its end.
+// entry is an upstream with the state of its entry in the feed.
 type entry struct {
-	upstream *Upstream // upstream is never changed: views have it.
+	upstream *Upstream // upstream is shared with views and must not be changed.
 	offset   int64
-	lapsed   time.Time // lapsed is when its removal was read while that may not count yet.
+	lapsedAt time.Time // lapsedAt is when a removal was read within the grace period; zero if there was none.
 }
 
-// New returns a state that knows nothing.
+// New returns an empty state.
 func New() *State {
 	return &State{
-		named:     make(map[string]Named),
-		recalled:  make(map[string][]Named),
-		emptied:   make(evacuations),
-		upstreams: make(map[string]*entry),
-		dirty:     make(map[string]*Upstream),
+		named:       make(map[string]Named),
+		peerNamings: make(map[string][]Named),
+		evacuations: make(evacuations),
+		upstreams:   make(map[string]*entry),
+		dirty:       make(map[string]*Upstream),
 	}
 }
 
-// Answered tells that the store has answered this host or another.
+// Answered records that a call to the store, by this host or another, has succeeded.
 func (s *State) Answered(now time.Time) {
-	if s.away {
-		s.away, s.returned = false, now
+	if s.storeFailing {
+		s.storeFailing, s.storeRecoveredAt = false, now
 	}
 }
 
-// Failed tells that the store has not answered, or turned this host away.
-func (s *State) Failed() { s.away = true }
+// Failed records that a call to the store has failed or was rejected.
+func (s *State) Failed() { s.storeFailing = true }
 
-// Away tells that the last call to the store failed.
-func (s *State) Away() bool { return s.away }
+// StoreFailing reports whether the last call to the store failed.
+func (s *State) StoreFailing() bool { return s.storeFailing }
 
-// Apply takes in what a record says and reports whether anything changed.
+// Apply applies a decoded record and reports whether anything changed.
 func (s *State) Apply(now time.Time, c Change, offset int64) bool {
 	switch {
 	case c.Table != nil:
@@ -77,11 +77,11 @@
 		if s.named[c.Weights.Model].Version >= c.Weights.Version {
 			return false
 		}
-		next := s.named[c.Weights.Model].then(Named{Version: c.Weights.Version, Since: now, Earliest: s.current})
-		s.named[c.Weights.Model] = next.recalling(s.recalled[c.Weights.Model])
+		next := s.named[c.Weights.Model].succeededBy(Named{Version: c.Weights.Version, Since: now, Earliest: s.currentUntil})
+		s.named[c.Weights.Model] = next.merge(s.peerNamings[c.Weights.Model])
 		return true
 	case c.Evacuation != nil:
-		return s.emptied.put(now, *c.Evacuation, offset)
+		return s.evacuations.apply(now, *c.Evacuation, offset)
 	case c.Upstream != nil:
 		return s.put(now, *c.Upstream, offset)
 	case c.Removed != "":
@@ -90,26 +90,26 @@
 	return false
 }
 
-// replaceTable takes over another configuration. Upstreams whose service it knows otherwise
-// than the one before are looked at again.
+// replaceTable replaces the configuration and marks upstreams whose service was added or removed
+// as dirty.
 func (s *State) replaceTable(t *matcher.Table) {
 	before := s.table
 	s.table = t
 	for id, e := range s.upstreams {
-		if before == nil || known(before, e.upstream) != known(t, e.upstream) {
-			s.show(id, e.upstream)
+		if before == nil || hasService(before, e.upstream) != hasService(t, e.upstream) {
+			s.markDirty(id, e.upstream)
 		}
 	}
 }
 
-func known(t *matcher.Table, u *Upstream) bool {
+func hasService(t *matcher.Table, u *Upstream) bool {
 	_, ok := t.Service(u.Service)
 	return ok
 }
 
-// show has the next view take an upstream as it is now.
-func (s *State) show(id string, u *Upstream) {
-	if !s.serves(u) {
+// markDirty publishes the current state of an upstream with the next view.
+func (s *State) markDirty(id string, u *Upstream) {
+	if !s.serviceKnown(u) {
 		u = nil
 	}
 	s.dirty[id] = u
@@ -117,15 +117,15 @@
 
 func (s *State) put(now time.Time, u Upstream, offset int64) bool {
 	if u.Cold > 0 {
-		u.ColdUntil = now.Add(u.Cold) // the entry was written before: it is warm a little earlier
+		u.ColdUntil = now.Add(u.Cold) // an upper bound, as the entry was written earlier
 	}
 	u.start = u.Start()
 	u.Service, u.AvailabilityZone = unique.Make(u.Service).Value(), unique.Make(u.AvailabilityZone).Value()
 	e := s.upstreams[u.ID]
 	if e == nil {
-		u.Weights = s.weights.share(u.Weights)
+		u.Weights = s.weights.intern(u.Weights)
 		s.upstreams[u.ID] = &entry{upstream: &u, offset: offset}
-		s.show(u.ID, &u)
+		s.markDirty(u.ID, &u)
 		return true
 	}
 	if offset < e.offset {
@@ -133,38 +133,37 @@
 	}
 	e.offset = offset
 	if u.Born == e.upstream.Born {
-		// One start of an upstream never goes back; an entry may be older than what is known.
-		for model, has := range e.upstream.Weights {
-			u.Weights[model] = max(u.Weights[model], has)
+		// Versions are monotonic within one start; an entry may be older than what is known.
+		for model, version := range e.upstream.Weights {
+			u.Weights[model] = max(u.Weights[model], version)
 		}
 	}
-	same := equal(e.upstream, &u) && !turnedCold(e.upstream, &u)
-	changed := !same || !e.lapsed.IsZero()
-	s.revive(e)
+	same := sameEntry(e.upstream, &u) && !coldChanged(e.upstream, &u)
+	changed := !same || !e.lapsedAt.IsZero()
+	s.clearLapse(e)
 	if !same {
-		u.Weights = s.weights.share(u.Weights)
+		u.Weights = s.weights.intern(u.Weights)
 		e.upstream = &u
-		s.show(u.ID, &u)
+		s.markDirty(u.ID, &u)
 	}
 	return changed
 }
 
-// forget removes an upstream.
-func (s *State) forget(id string) {
-	s.revive(s.upstreams[id])
+func (s *State) removeUpstream(id string) {
+	s.clearLapse(s.upstreams[id])
 	delete(s.upstreams, id)
 	s.dirty[id] = nil
 }
 
-// revive takes back that an entry has lapsed.
-func (s *State) revive(e *entry) {
-	if !e.lapsed.IsZero() {
-		e.lapsed = time.Time{}
-		s.lapsed--
+// clearLapse marks an entry as not lapsed.
+func (s *State) clearLapse(e *entry) {
+	if !e.lapsedAt.IsZero() {
+		e.lapsedAt = time.Time{}
+		s.lapsedCount--
 	}
 }
 
-// Namings returns what this host remembers of namings, the earlier ones too.
+// Namings returns the known weight versions of all models, including earlier ones.
 func (s *State) Namings(now time.Time) []Naming {
 	return namings(now, s.named)
 }
@@ -172,47 +171,48 @@
 func namings(now time.Time, named map[string]Named) []Naming {
 	var out []Naming
 	for model, n := range named {
-		for _, b := range append(slices.Clone(n.before), n) {
+		for _, b := range append(slices.Clone(n.previous), n) {
 			out = append(out, Naming{Model: model, Version: b.Version, Age: now.Sub(b.Since)})
 		}
 	}
 	return out
 }
 
-// Namings returns what this host remembers of namings, the earlier ones too.
+// Namings returns the known weight versions of all models, including earlier ones.
 func (v *View) Namings(now time.Time) []Naming { return namings(now, v.Named) }
 
-// Recall takes in what another host remembers of namings. A host that has just started
-// would else take an engine for freshly replaced whose weights were replaced long before.
-// It reports whether that changes the view.
-func (s *State) Recall(now time.Time, told []Naming) bool {
-	for _, t := range told {
-		s.recalled[t.Model] = append(s.recalled[t.Model], Named{Version: t.Version, Since: now.Add(-t.Age)})
+// Recall merges weight versions reported by another host and reports whether the view changes.
+// Without them a host that has just started would treat versions replaced long ago as replaced
+// recently.
+func (s *State) Recall(now time.Time, reported []Naming) bool {
+	for _, t := range reported {
+		s.peerNamings[t.Model] = append(s.peerNamings[t.Model], Named{Version: t.Version, Since: now.Add(-t.Age)})
 	}
 	changed := false
-	for _, t := range told {
+	for _, t := range reported {
 		if n, ok := s.named[t.Model]; ok {
-			next := n.recalling(s.recalled[t.Model])
-			changed = changed || !next.same(n)
+			next := n.merge(s.peerNamings[t.Model])
+			changed = changed || !next.equal(n)
 			s.named[t.Model] = next
 		}
 	}
 	for model, n := range s.named {
 		if n.Version > 0 {
-			delete(s.recalled, model) // it is part of what is known now
+			delete(s.peerNamings, model) // merged above or by Apply
 		}
 	}
 	return changed
 }
 
-// Current tells up to when the operators' feed is known. It never goes back.
+// Current records that the operators' feed is known up to a time. Earlier times are ignored.
 func (s *State) Current(at time.Time) {
-	if at.After(s.current) {
-		s.current = at
+	if at.After(s.currentUntil) {
+		s.currentUntil = at
 	}
 }
 
-// Renewed tells that a start of an upstream has a weight version, before its entry says so.
+// Renewed records that a start of an upstream has loaded a weight version, ahead of its entry in
+// the feed. It reports whether that is new.
 func (s *State) Renewed(id string, born int64, model string, version uint64) bool {
 	e := s.upstreams[id]
 	if e == nil || e.upstream.Born != born || e.upstream.Weights[model] >= version {
@@ -221,21 +221,21 @@
 	next := *e.upstream
 	next.Weights = maps.Clone(next.Weights)
 	next.Weights[model] = version
-	next.Weights = s.weights.share(next.Weights)
+	next.Weights = s.weights.intern(next.Weights)
 	e.upstream = &next
-	s.show(id, &next)
+	s.markDirty(id, &next)
 	return true
 }
 
-// coldSlip is how far two words on the end of the same coldness lie apart at most.
-const coldSlip = 700 * time.Millisecond
+// coldUntilTolerance bounds the difference between two estimates of the end of one cold start.
+const coldUntilTolerance = 700 * time.Millisecond
 
-// turnedCold tells that an upstream has become cold, or warm, since it wrote last.
-func turnedCold(before, u *Upstream) bool {
-	return before.Cold > 0 != (u.Cold > 0) || u.ColdUntil.Sub(before.ColdUntil) > coldSlip
+// coldChanged reports whether a cold start has begun or ended since the last entry.
+func coldChanged(before, u *Upstream) bool {
+	return before.Cold > 0 != (u.Cold > 0) || u.ColdUntil.Sub(before.ColdUntil) > coldUntilTolerance
 }
 
-func equal(a, b *Upstream) bool {
+func sameEntry(a, b *Upstream) bool {
 	return a.Born == b.Born && a.Service == b.Service && a.Address == b.Address && a.Standing == b.Standing &&
 		a.Slots == b.Slots && maps.Equal(a.Weights, b.Weights)
 }
@@ -246,35 +246,35 @@
 		return false
 	}
 	e.offset = offset
-	if s.inGrace(now) && e.upstream.Standing == StandingReady {
-		if e.lapsed.IsZero() {
-			e.lapsed = now
-			s.lapsed++
+	if s.inGracePeriod(now) && e.upstream.Standing == StandingReady {
+		if e.lapsedAt.IsZero() {
+			e.lapsedAt = now
+			s.lapsedCount++
 		}
 		return false
 	}
-	s.forget(id)
+	s.removeUpstream(id)
 	return true
 }
 
-// Drop forgets an upstream whose entry cannot be read any more: it names none to use.
+// Drop removes an upstream whose entry cannot be decoded and reports whether it did.
 func (s *State) Drop(id string, offset int64) bool {
 	e := s.upstreams[id]
 	if e == nil || offset < e.offset {
 		return false
 	}
-	s.forget(id)
+	s.removeUpstream(id)
 	return true
 }
 
-// inGrace tells that removals may come from entries that could not be renewed.
-func (s *State) inGrace(now time.Time) bool {
-	return s.away || !s.returned.IsZero() && now.Sub(s.returned) < lapseGrace
+// inGracePeriod reports whether removals may be of entries that could not be renewed.
+func (s *State) inGracePeriod(now time.Time) bool {
+	return s.storeFailing || !s.storeRecoveredAt.IsZero() && now.Sub(s.storeRecoveredAt) < lapseGracePeriod
 }
 
-// Replace takes in a whole listing of the upstreams' feed, read when it ended at
-// the given offset. Upstreams that are not listed and were not heard of since
-// are removed.
+// Replace applies a complete listing of the upstreams' feed that ends at the given offset, and
+// reports whether anything changed. Upstreams that are neither listed nor have a record from that
+// offset on are removed.
 func (s *State) Replace(now time.Time, listed map[string]bool, end int64) bool {
 	changed := !s.listed
 	s.listed = true
@@ -286,40 +286,40 @@
 	return changed
 }
 
-// Expire removes entries whose grace is over and reports whether there were any.
+// Expire removes lapsed entries once the grace period is over and reports whether there were any.
 func (s *State) Expire(now time.Time) bool {
-	if s.lapsed == 0 || s.inGrace(now) {
+	if s.lapsedCount == 0 || s.inGracePeriod(now) {
 		return false
 	}
 	for id, e := range s.upstreams {
-		if !e.lapsed.IsZero() {
-			s.forget(id)
+		if !e.lapsedAt.IsZero() {
+			s.removeUpstream(id)
 		}
 	}
 	return true
 }
 
-// Table returns the configuration in force, or nil.
+// Table returns the configuration in force; nil if none is known.
 func (s *State) Table() *matcher.Table { return s.table }
 
-// View is what traffic sees. It is immutable.
+// View is an immutable snapshot of the state, for handling requests.
 type View struct {
 	Table     *matcher.Table // Table is nil while no configuration is known.
 	Named     map[string]Named
-	Listed    bool // Listed tells that Upstreams has been read; without it their absence says nothing.
+	Listed    bool // Listed reports whether a complete listing was applied; if not, Upstreams may lack some.
 	Upstreams Upstreams
-	// Evacuated are the availability zones whose upstreams are sent nothing new, Returned
-	// is when those that were evacuated earlier were taken back.
+	// Evacuated holds the availability zones whose upstreams get no new requests, Returned the
+	// times at which past evacuations ended.
 	Evacuated map[string]bool
 	Returned  map[string]time.Time
 }
 
-// Takes tells that an upstream takes new work.
+// Takes reports whether an upstream accepts new requests.
 func (v *View) Takes(u *Upstream) bool {
 	return u.Standing == StandingReady && !v.Evacuated[u.AvailabilityZone]
 }
 
-// Taking returns the IDs of a service's upstreams that take new work.
+// Taking returns the IDs of a service's upstreams that accept new requests.
 func (v *View) Taking(service string) []string {
 	var out []string
 	for u := range v.Upstreams.All() {
@@ -330,12 +330,12 @@
 	return out
 }
 
-// Ready tells that requests can be served: configuration and upstreams are known.
+// Ready reports whether requests can be served: configuration and upstreams are known.
 func (v *View) Ready() bool { return v.Table != nil && v.Listed }
 
-// serves tells that the configuration knows an upstream's service. An entry of another
-// writer may name any: its upstream is sent nothing, no orders for weights either.
-func (s *State) serves(u *Upstream) bool {
+// serviceKnown reports whether an upstream's service is configured, or no configuration is known yet.
+// An upstream of an unknown service gets neither requests nor orders.
+func (s *State) serviceKnown(u *Upstream) bool {
 	if s.table == nil {
 		return true
 	}
@@ -343,7 +343,7 @@
 	return ok
 }
 
-// View returns what is believed now.
+// View returns a snapshot of the current state.
 func (s *State) View() *View {
 	s.list = s.list.With(s.dirty)
 	clear(s.dirty)
@@ -352,7 +352,7 @@
 		Listed:    s.listed,
 		Named:     maps.Clone(s.named),
 		Upstreams: s.list,
-		Evacuated: s.emptied.evacuated(),
-		Returned:  s.emptied.returned(),
+		Evacuated: s.evacuations.evacuated(),
+		Returned:  s.evacuations.endTimes(),
 	}
 }
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -87,15 +87,15 @@
 	}
 }
 
-// TestReadyNeedsBoth: a host that knows its routes but not who serves them must
-// not take callers.
+// TestReadyNeedsBoth: a host with a configuration but no list of upstreams must not
+// accept requests.
 func TestReadyNeedsBoth(t *testing.T) {
 	state := New()
 	now := time.Unix(1000, 0)
 	assert.Assert(t, !state.View().Ready())
 	state.Apply(now, Change{Table: matcher.New(matcher.Parts{Version: 1})}, 1)
 	assert.Assert(t, !state.View().Ready())
-	assert.Assert(t, state.Replace(now, nil, 1), "the first listing is news, also if it is empty")
+	assert.Assert(t, state.Replace(now, nil, 1), "the first listing is a change, even if it is empty")
 	assert.Assert(t, state.View().Ready())
 }
 
@@ -115,8 +115,8 @@
 	assert.Equal(t, got.Since, since)
 }
 
-// TestReplacedSince: a version counts as replaced since the first later one was
-// named. A third one must not make the first look fresh again.
+// TestReplacedSince: a third version must not reset the time at which the
+// first was replaced.
 func TestReplacedSince(t *testing.T) {
 	state := New()
 	at := func(s int) time.Time { return time.Unix(int64(1000+s), 0) }
@@ -129,8 +129,8 @@
 	assert.Equal(t, named.Replaced(4), at(20))
 }
 
-// TestInForceUntil: a host that heard of a new version late, or that has just
-// started, does not take the old one for in force until then.
+// TestInForceUntil: a host that learns of a version late, or has just started, must not assume that
+// the old one was in force until then.
 func TestInForceUntil(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New()
@@ -139,9 +139,9 @@
 	}
 	name(now, 3)
 	named := s.View().Named["m"]
-	assert.Assert(t, named.InForceUntil(2).IsZero(), "nothing is known of versions before the start")
+	assert.Assert(t, named.InForceUntil(2).IsZero(), "versions before the start are unknown")
 	s.Current(now)
-	name(now.Add(9*time.Second), 4) // the host was cut off meanwhile
+	name(now.Add(9*time.Second), 4) // after a network partition
 	named = s.View().Named["m"]
 	assert.Equal(t, named.InForceUntil(3), now)
 	assert.Equal(t, named.Replaced(3), now.Add(9*time.Second))
@@ -152,8 +152,8 @@
 	assert.Equal(t, named.InForceUntil(4), now.Add(9*time.Second))
 }
 
-// TestRecalledNamings: a host that starts anew learns from others since when weights are
-// replaced, before or after it has read the newest version itself.
+// TestRecalledNamings: a restarted host learns from others when weights were replaced, before or
+// after it has read the newest version itself.
 func TestRecalledNamings(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
@@ -161,12 +161,12 @@
 	for i, v := range []uint64{2, 3, 4} {
 		other.Apply(ago(time.Duration(20-9*i)*time.Second), Change{Weights: &Weights{Model: "m", Version: v}}, int64(i))
 	}
-	told := other.Namings(now)
+	reported := other.Namings(now)
 	newest := Change{Weights: &Weights{Model: "m", Version: 4}}
 	for name, learn := range map[string]func(s *State){
-		"told first": func(s *State) { s.Recall(now, told); s.Apply(now, newest, 2) },
-		"read first": func(s *State) { s.Apply(now, newest, 2); s.Recall(now, told) },
-		"told twice": func(s *State) { s.Recall(now, told); s.Apply(now, newest, 2); s.Recall(now, told) },
+		"report first": func(s *State) { s.Recall(now, reported); s.Apply(now, newest, 2) },
+		"record first": func(s *State) { s.Apply(now, newest, 2); s.Recall(now, reported) },
+		"report twice": func(s *State) { s.Recall(now, reported); s.Apply(now, newest, 2); s.Recall(now, reported) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestUnknownService: an entry that names a service which the configuration does not know
-// names nobody, until the configuration does.
+// TestUnknownService: an upstream of an unknown service is left out of views until the service is
+// configured.
 func TestUnknownService(t *testing.T) {
 	state := New()
 	now := time.Unix(1000, 0)
--- a/follower/types.go
+++ b/follower/types.go
@@ -15,37 +15,37 @@
 	"amaranthgate.example/amaranthgate/matcher"
 )
 
-// Feed names one of the platform's feeds of keyed records.
+// Feed is the name of one of the platform's feeds of keyed records.
 type Feed string
 
 const (
-	FeedOperator  Feed = "Operator"  // FeedOperator has the configuration and the weight versions.
-	FeedUpstreams Feed = "Upstreams" // FeedUpstreams has an entry for each upstream.
+	FeedOperator  Feed = "Operator"  // FeedOperator holds the configuration and the weight versions.
+	FeedUpstreams Feed = "Upstreams" // FeedUpstreams holds an entry for each upstream.
 )
 
-// ErrForgotten says that the store no longer has the records asked for; the
-// newest record of each key is still there.
-var ErrForgotten = errors.New("follower: the store has forgotten these records")
+// ErrForgotten is returned for a read from an offset below which the store has compacted the
+// feed. The newest record of each key is still available.
+var ErrForgotten = errors.New("follower: requested records have been compacted by the store")
 
-// Record is one record of a feed, as it is kept and passed between hosts.
+// Record is one record of a feed, as hosts store it and send it to each other.
 type Record struct {
 	Key    string `cbor:"1,keyasint"`
 	Value  []byte `cbor:"2,keyasint,omitempty"` // Value is empty if the key was removed.
 	Offset int64  `cbor:"3,keyasint"`
 }
 
-// News is a page of a feed that a host has read and passes on.
+// News is a page of a feed that a host has read and forwards to others.
 type News struct {
 	Feed    Feed          `cbor:"1,keyasint"`
-	Full    bool          `cbor:"2,keyasint,omitempty"` // Full tells that Records has the newest record of each key.
+	Full    bool          `cbor:"2,keyasint,omitempty"` // Full reports whether Records has the newest record of every key.
 	From    int64         `cbor:"3,keyasint"`
 	Next    int64         `cbor:"4,keyasint"`           // Next is the offset after the last record covered.
 	Age     time.Duration `cbor:"5,keyasint,omitempty"` // Age is how long ago the page was read.
 	Records []Record      `cbor:"6,keyasint,omitempty"`
-	Kept    bool          `cbor:"7,keyasint,omitempty"` // Kept tells that the page was not read just now, but is what a host knows.
+	Kept    bool          `cbor:"7,keyasint,omitempty"` // Kept reports whether the page comes from a host's memory instead of a recent read.
 }
 
-// Standing is what an upstream says of itself.
+// Standing is the state that an upstream reports of itself.
 type Standing string
 
 const (
@@ -53,24 +53,24 @@
 	StandingLeaving Standing = "Leaving"
 )
 
-// Upstream is one upstream as its entry describes it.
+// Upstream describes one upstream according to its entry in the feed.
 type Upstream struct {
-	ID               string // ID is what the upstream calls itself. It may start again under the same one.
-	Born             int64  // Born is when it was started, in milliseconds of the time of day; 0 if it does not say.
+	ID               string // ID is chosen by the upstream, which may restart under the same one.
+	Born             int64  // Born is its start time in Unix milliseconds; 0 if unknown.
 	Service          string
-	Address          string // Address is IP:port.
+	Address          string // Address has the form IP:port.
 	AvailabilityZone string
 	Slots            int
 	Standing         Standing
-	Cold             time.Duration     // Cold is how much longer it was slow when it wrote its entry.
-	ColdUntil        time.Time         // ColdUntil is until when it is slow, as State works it out.
-	Weights          map[string]uint64 // Weights has the weight version of each model.
+	Cold             time.Duration     // Cold is the remaining time of its slow cold start when it wrote its entry.
+	ColdUntil        time.Time         // ColdUntil is the end of its cold start as computed by State.
+	Weights          map[string]uint64 // Weights holds the weight version of each model.
 
-	start string // start is what Start returns, once it was worked out.
+	start string // start caches the result of Start.
 }
 
-// Start names one start of the upstream. What is known of an earlier one under the same
-// ID does not hold for it: it keeps nothing and has no work.
+// Start returns an identifier of this start of the upstream. State that is known of an earlier
+// start under the same ID does not apply to it: a restart loses the cache and all requests.
 func (u *Upstream) Start() string {
 	switch {
 	case u.Born == 0:
@@ -78,108 +78,108 @@
 	case u.start != "":
 		return u.start
 	}
-	return u.ID + startMark + strconv.FormatInt(u.Born, 36)
+	return u.ID + startSeparator + strconv.FormatInt(u.Born, 36)
 }
 
-// IDOf returns the ID in the name of a start that tells when it was; otherwise the name itself.
+// IDOf returns the upstream's ID from an identifier returned by Start.
 func IDOf(start string) string {
-	if at := strings.LastIndex(start, startMark); at >= 0 {
+	if at := strings.LastIndex(start, startSeparator); at >= 0 {
 		return start[:at]
 	}
 	return start
 }
 
-// startMark parts ID and time in the name of a start.
-const startMark = "@"
+// startSeparator separates the ID from the time in an identifier returned by Start.
+const startSeparator = "@"
 
-// Change is what one record says. At most one field is set; none is if the
-// record is of no interest.
+// Change is the decoded content of one record. At most one field is set; none is set if the
+// record is irrelevant to the host.
 type Change struct {
 	Table      *matcher.Table
 	Weights    *Weights
 	Evacuation *Evacuation
 	Upstream   *Upstream
-	Removed    string // Removed is the ID of an upstream whose entry is gone.
+	Removed    string // Removed is the ID of an upstream whose entry was removed.
 }
 
-// Weights is a weight version of a model that operators have named.
+// Weights is a weight version that operators have put in force for a model.
 type Weights struct {
 	Model   string
 	Version uint64
 }
 
-// Named is a weight version with the time at which this host heard of it.
+// Named is a weight version in force, with the time at which this host learned of it.
 type Named struct {
 	Version  uint64
 	Since    time.Time
-	Earliest time.Time // Earliest is a moment at which it was not named yet; zero if none is known.
-	before   []Named   // before are earlier ones, oldest first.
+	Earliest time.Time // Earliest is a time at which it was not in force yet; zero if none is known.
+	previous []Named   // previous holds earlier versions, oldest first.
 }
 
-// keptNamings bounds how many earlier versions are remembered. Engines are
-// renewed within seconds, so that hardly more than one is in use.
-const keptNamings = 8
+// maxPreviousVersions bounds the history. Engines are updated within seconds, so that few
+// versions are in use at a time.
+const maxPreviousVersions = 8
 
-// then returns the version that is named after n.
-func (n Named) then(next Named) Named {
+// succeededBy returns next with n added to its history.
+func (n Named) succeededBy(next Named) Named {
 	if n.Version == 0 {
 		return next
 	}
 	earlier := n
-	earlier.before = nil
-	next.before = append(slices.Clone(n.before), earlier)
-	if len(next.before) > keptNamings {
-		next.before = next.before[1:]
+	earlier.previous = nil
+	next.previous = append(slices.Clone(n.previous), earlier)
+	if len(next.previous) > maxPreviousVersions {
+		next.previous = next.previous[1:]
 	}
 	return next
 }
 
-// recalling returns n with what another host remembers of earlier namings: that host may
-// have heard sooner, or of versions that were replaced before this one started.
-func (n Named) recalling(told []Named) Named {
-	all := append(slices.Clone(n.before), Named{Version: n.Version, Since: n.Since, Earliest: n.Earliest})
-	for _, t := range told {
+// merge returns n with the history that another host reported, which may have learned of
+// versions sooner, or of ones that were replaced before this host started.
+func (n Named) merge(reported []Named) Named {
+	all := append(slices.Clone(n.previous), Named{Version: n.Version, Since: n.Since, Earliest: n.Earliest})
+	for _, t := range reported {
 		i := slices.IndexFunc(all, func(o Named) bool { return o.Version == t.Version })
 		switch {
 		case i >= 0:
-			all[i].Since = sooner(all[i].Since, t.Since)
+			all[i].Since = earlierTime(all[i].Since, t.Since)
 		case t.Version < n.Version:
 			all = append(all, Named{Version: t.Version, Since: t.Since})
 		}
 	}
 	slices.SortFunc(all, func(a, b Named) int { return cmp.Compare(a.Version, b.Version) })
 	last := all[len(all)-1]
-	last.before = all[:len(all)-1]
-	if over := len(last.before) - keptNamings; over > 0 {
-		last.before = last.before[over:]
+	last.previous = all[:len(all)-1]
+	if over := len(last.previous) - maxPreviousVersions; over > 0 {
+		last.previous = last.previous[over:]
 	}
 	return last
 }
 
-// same tells that two hosts' memories of namings are alike.
-func (n Named) same(o Named) bool {
-	alike := func(a, b Named) bool { return a.Version == b.Version && a.Since.Equal(b.Since) }
-	return alike(n, o) && slices.EqualFunc(n.before, o.before, alike)
+// equal reports whether n and o have the same version and history, Earliest aside.
+func (n Named) equal(o Named) bool {
+	equalVersion := func(a, b Named) bool { return a.Version == b.Version && a.Since.Equal(b.Since) }
+	return equalVersion(n, o) && slices.EqualFunc(n.previous, o.previous, equalVersion)
 }
 
-// sooner returns the first of two times.
-func sooner(a, b time.Time) time.Time {
+// earlierTime returns the earlier of two times.
+func earlierTime(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// Naming is what one host remembers of a naming, for another.
+// Naming is a weight version with the time since a host learned of it, as sent to other hosts.
 type Naming struct {
 	Model   string        `cbor:"1,keyasint"`
 	Version uint64        `cbor:"2,keyasint"`
-	Age     time.Duration `cbor:"3,keyasint"` // Age is how long ago the host heard of it.
+	Age     time.Duration `cbor:"3,keyasint"` // Age is the time since the host learned of it.
 }
 
-// after returns the first naming later than a version.
-func (n Named) after(version uint64) Named {
-	for _, b := range n.before {
+// firstAfter returns the first version put in force that is later than the given one.
+func (n Named) firstAfter(version uint64) Named {
+	for _, b := range n.previous {
 		if b.Version > version {
 			return b
 		}
@@ -187,10 +187,10 @@
 	return n
 }
 
-// Replaced returns when this host heard that a version was replaced: since the first
-// later one was named, however many were named after that.
-func (n Named) Replaced(version uint64) time.Time { return n.after(version).Since }
+// Replaced returns when this host learned that a version was replaced, which is when it
+// learned of the first later one.
+func (n Named) Replaced(version uint64) time.Time { return n.firstAfter(version).Since }
 
-// InForceUntil returns a moment until which a version surely had not been replaced;
-// zero if none is known. Unlike Replaced it holds also for hosts that heard late.
-func (n Named) InForceUntil(version uint64) time.Time { return n.after(version).Earliest }
+// InForceUntil returns a time at which a version had certainly not been replaced yet; zero if
+// none is known. Unlike Replaced it does not depend on how late this host learned of it.
+func (n Named) InForceUntil(version uint64) time.Time { return n.firstAfter(version).Earliest }
--- a/follower/upstreams.go
+++ b/follower/upstreams.go
@@ -11,23 +11,23 @@
 	"strings"
 )
 
-// mostInChunk bounds a chunk. A change copies one chunk and the list of chunks: some 4 KB of
-// 10,000 upstreams, where a copy of all was 2.7 MB and 9 ms on each host.
-const mostInChunk = 64
+// maxChunkSize bounds the number of upstreams in a chunk. A change copies one chunk and the list of
+// chunks instead of the whole list.
+const maxChunkSize = 64
 
-// Upstreams is an immutable list of upstreams by ID. Lists that are made from another share with
-// it what has not changed, and tell what has. The zero value is empty.
+// Upstreams is an immutable list of upstreams sorted by ID. A list derived from another shares its
+// unchanged chunks, so that the two can be compared cheaply. The zero value is an empty list.
 type Upstreams struct {
 	chunks []*chunk
 	count  int
 }
 
-// chunk is a part of a list; it is never empty.
+// chunk is a non-empty run of consecutive upstreams of a list.
 type chunk struct{ items []*Upstream }
 
 func (c *chunk) first() string { return c.items[0].ID }
 
-// ListOf returns a list of upstreams. Their IDs must differ.
+// ListOf returns a list of the given upstreams, whose IDs must be unique.
 func ListOf(upstreams ...Upstream) Upstreams {
 	changes := make(map[string]*Upstream, len(upstreams))
 	for _, u := range upstreams {
@@ -36,10 +36,10 @@
 	return Upstreams{}.With(changes)
 }
 
-// Len returns the number of upstreams.
+// Len returns the number of upstreams in the list.
 func (l Upstreams) Len() int { return l.count }
 
-// All returns the upstreams by ID. They must not be changed.
+// All returns an iterator over the upstreams in order of ID. The caller must not change them.
 func (l Upstreams) All() iter.Seq[*Upstream] {
 	return func(yield func(*Upstream) bool) {
 		for _, c := range l.chunks {
@@ -52,7 +52,8 @@
 	}
 }
 
-// With returns the list with other upstreams under some IDs; those that are nil are taken out.
+// With returns a copy of the list in which changes, keyed by ID, are applied. A nil value removes
+// the upstream.
 func (l Upstreams) With(changes map[string]*Upstream) Upstreams {
 	next := Upstreams{chunks: slices.Clone(l.chunks), count: l.count}
 	copied := make(map[*chunk]bool)
@@ -62,7 +63,8 @@
 	return next
 }
 
-// set changes a list that nobody else has yet. Chunks that are not in copied are shared.
+// set changes l in place, which must not be shared yet. Chunks that are not in copied belong to other
+// lists as well and are copied before they are written.
 func (l *Upstreams) set(id string, u *Upstream, copied map[*chunk]bool) {
 	if len(l.chunks) == 0 {
 		if u != nil {
@@ -72,7 +74,7 @@
 		}
 		return
 	}
-	at := l.chunkOf(id)
+	at := l.chunkIndex(id)
 	c := l.chunks[at]
 	i, found := slices.BinarySearchFunc(c.items, id, func(u *Upstream, id string) int { return strings.Compare(u.ID, id) })
 	if u == nil && !found {
@@ -99,8 +101,8 @@
 	}
 }
 
-// chunkOf returns the place of the chunk to which an ID belongs.
-func (l *Upstreams) chunkOf(id string) int {
+// chunkIndex returns the index of the chunk to which an ID belongs.
+func (l *Upstreams) chunkIndex(id string) int {
 	at, found := slices.BinarySearchFunc(l.chunks, id, func(c *chunk, id string) int { return cmp.Compare(c.first(), id) })
 	if found || at == 0 {
 		return at
@@ -108,10 +110,10 @@
 	return at - 1
 }
 
-// split divides a chunk that has grown too long.
+// split halves the chunk at an index if it is longer than maxChunkSize.
 func (l *Upstreams) split(at int, copied map[*chunk]bool) {
 	c := l.chunks[at]
-	if len(c.items) <= mostInChunk {
+	if len(c.items) <= maxChunkSize {
 		return
 	}
 	half := len(c.items) / 2
@@ -121,32 +123,32 @@
 	l.chunks = slices.Insert(l.chunks, at+1, rest)
 }
 
-// Since returns what has changed since an earlier list: those that are new or other than they
-// were, and those that are gone as they were. Its work grows with the number of changes and of
-// chunks, not with that of upstreams, if this list was made from the earlier one.
+// Since returns the differences from an earlier list: the upstreams that were added or replaced, and
+// those that were removed, as they were. If l was derived from the earlier list, the cost grows with
+// the number of changes and of chunks, not with that of upstreams.
 func (l Upstreams) Since(earlier Upstreams) (put, gone []*Upstream) {
-	fresh, stale := differing(l.chunks, earlier.chunks)
-	now, was := items(fresh), items(stale)
-	for len(now) > 0 && len(was) > 0 {
-		order := strings.Compare(now[0].ID, was[0].ID)
-		if order < 0 || order == 0 && now[0] != was[0] {
-			put = append(put, now[0])
+	newChunks, oldChunks := unsharedChunks(l.chunks, earlier.chunks)
+	newItems, oldItems := flatten(newChunks), flatten(oldChunks)
+	for len(newItems) > 0 && len(oldItems) > 0 {
+		order := strings.Compare(newItems[0].ID, oldItems[0].ID)
+		if order < 0 || order == 0 && newItems[0] != oldItems[0] {
+			put = append(put, newItems[0])
 		}
 		if order > 0 {
-			gone = append(gone, was[0])
+			gone = append(gone, oldItems[0])
 		}
 		if order <= 0 {
-			now = now[1:]
+			newItems = newItems[1:]
 		}
 		if order >= 0 {
-			was = was[1:]
+			oldItems = oldItems[1:]
 		}
 	}
-	return append(put, now...), append(gone, was...)
+	return append(put, newItems...), append(gone, oldItems...)
 }
 
-// items returns the upstreams of chunks that follow each other.
-func items(chunks []*chunk) []*Upstream {
+// flatten returns the upstreams of several chunks in order.
+func flatten(chunks []*chunk) []*Upstream {
 	var out []*Upstream
 	for _, c := range chunks {
 		out = append(out, c.items...)
@@ -154,9 +156,9 @@
 	return out
 }
 
-// differing returns the chunks of two lists that they do not share. A chunk that both have stands
-// in both under the same first ID.
-func differing(a, b []*chunk) (onlyA, onlyB []*chunk) {
+// unsharedChunks returns the chunks that only one of two lists has. A shared chunk has the same first
+// ID in both, so that one pass in order of first IDs finds all differences.
+func unsharedChunks(a, b []*chunk) (onlyA, onlyB []*chunk) {
 	for len(a) > 0 && len(b) > 0 {
 		order := strings.Compare(a[0].first(), b[0].first())
 		if a[0] != b[0] && order <= 0 {
--- a/follower/upstreams_test.go
+++ b/follower/upstreams_test.go
@@ -17,8 +17,8 @@
 
 func init() { seeder.Fix() }
 
-// TestRandomUpstreams: a list is what a map is, earlier lists stay as they were, and what is told
-// to have changed turns each earlier list into the later one.
+// TestRandomUpstreams: a list holds the same upstreams as a map that gets the same changes, earlier
+// lists stay unchanged, and applying Since to an earlier list gives the later one.
 func TestRandomUpstreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type version struct {
@@ -65,8 +65,8 @@
 	})
 }
 
-// TestChangeCopiesLittle: a change of one upstream of 10,000 makes one new chunk, and telling what
-// has changed looks at no more than that.
+// TestChangeCopiesLittle: changing one upstream must copy one chunk only, and Since must return
+// only that upstream.
 func TestChangeCopiesLittle(t *testing.T) {
 	const n = 10_000
 	all := make(map[string]*Upstream, n)
@@ -83,7 +83,7 @@
 		}
 	}
 	assert.Equal(t, shared, len(before.chunks)-1)
-	assert.Assert(t, len(before.chunks) <= 2*n/mostInChunk+1)
+	assert.Assert(t, len(before.chunks) <= 2*n/maxChunkSize+1)
 	put, gone := after.Since(before)
 	assert.Equal(t, len(put), 1)
 	assert.Equal(t, len(gone), 0)
--- a/follower/weights.go
+++ b/follower/weights.go
@@ -5,21 +5,22 @@
 
 import "maps"
 
-// mostShared bounds how many different weights are shared. Nearly all upstreams have one of a few;
-// a map of its own for each of 10,000 takes 2.5 MB.
-const mostShared = 16
+// maxInternedWeights bounds the number of interned maps. Nearly all upstreams have one of a few
+// combinations of weight versions.
+const maxInternedWeights = 16
 
-// sharedWeights has the weights that upstreams have lately had, each once. They are not changed.
-type sharedWeights []map[string]uint64
+// weightsInterner holds the last maps of weight versions added to it, oldest first, to let upstreams
+// share equal ones. The maps must not be changed.
+type weightsInterner []map[string]uint64
 
-// share returns weights that are the same.
-func (s *sharedWeights) share(w map[string]uint64) map[string]uint64 {
-	for _, had := range *s {
-		if maps.Equal(had, w) {
-			return had
+// intern returns an interned map that equals w, which becomes interned itself if there is none.
+func (s *weightsInterner) intern(w map[string]uint64) map[string]uint64 {
+	for _, interned := range *s {
+		if maps.Equal(interned, w) {
+			return interned
 		}
 	}
-	if len(*s) == mostShared {
+	if len(*s) == maxInternedWeights {
 		*s = append((*s)[:0], (*s)[1:]...)
 	}
 	*s = append(*s, w)
