--- a/tracker/active.go
+++ b/tracker/active.go
@@ -8,26 +8,25 @@
 	"time"
 )
 
-// SetActive names the hosts that serve callers while the others stand by; nil if all
-// serve. Those that serve are neighbours of each other, so that one that falls silent is
-// noticed by all that share its work.
+// SetActive sets the hosts that serve callers while the others are standbys; nil if all serve. Active
+// hosts are neighbours of each other, so that all of them detect when one fails.
 func (h *Hosts) SetActive(now time.Time, active map[string]bool) {
 	if maps.Equal(h.active, active) {
 		return
 	}
-	before := h.expected()
+	before := h.promptNeighbours()
 	h.active = active
-	h.near = nil
-	until := now.Add(introduction)
-	for name := range h.expected() {
-		if e := h.records[name]; !before[name] && e.heard.Before(until) {
-			e.heard = until
+	h.neighbourCache = nil
+	until := now.Add(activationGracePeriod)
+	for name := range h.promptNeighbours() {
+		if e := h.records[name]; !before[name] && e.heardAt.Before(until) {
+			e.heardAt = until
 		}
 	}
 }
 
-// expected returns the neighbours that are to speak at short intervals.
-func (h *Hosts) expected() map[string]bool {
+// promptNeighbours returns the neighbours for which Prompt holds.
+func (h *Hosts) promptNeighbours() map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range h.Neighbours() {
 		if h.Prompt(name) {
@@ -37,12 +36,12 @@
 	return out
 }
 
-// introduction is how long it may take until a host that was called in to serve speaks
-// to all others that do: both must have heard of it, over a few hops.
-const introduction = 1500 * time.Millisecond
+// activationGracePeriod is added to the suspect timeout of newly active hosts: news of the activation
+// must reach both sides over a few hops before they send each other heartbeats.
+const activationGracePeriod = 1500 * time.Millisecond
 
-// Prompt tells whether a host is expected to speak at short intervals to this one: both
-// serve callers.
+// Prompt reports whether a host is expected to send this one heartbeats at the short interval, which
+// active hosts do among each other.
 func (h *Hosts) Prompt(host string) bool {
 	return h.active == nil || h.active[host] && h.active[h.self.Host]
 }
--- a/tracker/active_test.go
+++ b/tracker/active_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet returns the view of host-0 on a fleet of n hosts.
-func fleet(now time.Time, n int) *Hosts {
+// newFleet returns the view of host-0 of a fleet of n hosts.
+func newFleet(now time.Time, n int) *Hosts {
 	h := NewHosts(HostRecord{Host: "host-0", Incarnation: 1, State: HostLive, Peers: "host-0"}, HostOptions{Suspect: time.Second, SuspectStandby: 4 * time.Second})
 	for i := 1; i < n; i++ {
 		name := fmt.Sprintf("host-%d", i)
@@ -22,11 +22,11 @@
 	return h
 }
 
-// TestActiveHostsAreNeighbours: an active host keeps connections to all others that are
-// active, besides those that keep the fleet connected; a standby only to the latter.
+// TestActiveHostsAreNeighbours: an active host is a neighbour of all other active hosts, besides its
+// neighbours by hash; a standby has only the latter.
 func TestActiveHostsAreNeighbours(t *testing.T) {
 	now := time.Unix(1000, 0)
-	h := fleet(now, 100)
+	h := newFleet(now, 100)
 	assert.Equal(t, len(h.Neighbours()), 4)
 	active := map[string]bool{"host-0": true, "host-7": true, "host-8": true, "host-9": true}
 	h.SetActive(now, active)
@@ -40,12 +40,11 @@
 	assert.Assert(t, !h.Prompt("host-7"))
 }
 
-// TestSilentActiveHostIsNoticedSooner: a silent active host is suspected after the short
-// time by other active ones, counted from when it may have heard of them, and a silent
-// standby after the long one.
-func TestSilentActiveHostIsNoticedSooner(t *testing.T) {
+// TestSilentActiveHostIsSuspectedSooner: active hosts suspect a silent active host after the short
+// timeout, counted from the end of its activation grace period, and a silent standby after the long one.
+func TestSilentActiveHostIsSuspectedSooner(t *testing.T) {
 	now := time.Unix(1000, 0)
-	h := fleet(now, 40)
+	h := newFleet(now, 40)
 	h.SetActive(now, map[string]bool{"host-0": true, "host-7": true})
 	standby := h.Neighbours()[0]
 	if standby == "host-7" {
@@ -59,20 +58,19 @@
 			}
 		}
 	}
-	assert.Equal(t, suspected["host-7"], introduction+1100*time.Millisecond)
+	assert.Equal(t, suspected["host-7"], activationGracePeriod+1100*time.Millisecond)
 	assert.Equal(t, suspected[standby], 4100*time.Millisecond)
 }
 
-// TestDifferingParts: hosts whose views differ in one record exchange a small part of
-// all records, and it has that one.
-func TestDifferingParts(t *testing.T) {
+// TestDifferingBuckets: hosts whose views differ in one record exchange only its bucket.
+func TestDifferingBuckets(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a, b := fleet(now, 300), fleet(now, 300)
+	a, b := newFleet(now, 300), newFleet(now, 300)
 	assert.Equal(t, len(a.Differing(b.Buckets())), 0)
 	changed, _ := b.Lookup("host-77")
 	changed.Version++
 	b.Merge(now, changed)
-	part := b.Differing(a.Buckets())
-	assert.Assert(t, len(part) < 30, "%d records", len(part))
-	assert.Assert(t, slices.Contains(part, changed))
+	differing := b.Differing(a.Buckets())
+	assert.Assert(t, len(differing) < 30, "%d records", len(differing))
+	assert.Assert(t, slices.Contains(differing, changed))
 }
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -12,76 +12,73 @@
 	"amaranthgate.example/amaranthgate/connector"
 )
 
-// HostOptions set the times of membership.
+// HostOptions configures failure detection and gossip between hosts.
 type HostOptions struct {
 	Suspect time.Duration // Suspect is the silence after which a neighbour is suspected.
-	// SuspectStandby is the silence after which a neighbour is suspected that does not
-	// serve callers, or by a host that does not; default Suspect.
+	// SuspectStandby replaces Suspect where the neighbour or this host is a standby; default Suspect.
 	SuspectStandby time.Duration
-	Gone           time.Duration // Gone is how long a suspicion stands before the host is gone; default 3 Suspect.
-	Forget         time.Duration // Forget is how long gone hosts are remembered; default 10 min.
-	Neighbours     int           // Neighbours is the number of hosts that each host connects to; default 4.
-	FullMesh       int           // FullMesh is the number of hosts up to which everyone is a neighbour; default 9.
+	GoneAfter      time.Duration // GoneAfter is the time from suspect to gone; default 3 Suspect.
+	Forget         time.Duration // Forget is how long records of gone hosts are kept; default 10 min.
+	Neighbours     int           // Neighbours is the number of neighbours in a large fleet; default 4.
+	FullMesh       int           // FullMesh is the number of hosts up to which all are neighbours; default 9.
 }
 
-// fullMesh is the default number of hosts up to which everyone is a neighbour.
-const fullMesh = 9
+// defaultFullMesh is the default of HostOptions.FullMesh.
+const defaultFullMesh = 9
 
-// Hosts is what one host knows of all hosts. It is not safe for concurrent
-// use.
+// Hosts is one host's view of all hosts. It is not safe for concurrent use.
 type Hosts struct {
 	opts    HostOptions
 	self    HostRecord
 	records map[string]*hostEntry
 	listed  map[string]connector.ListedHost
-	active  map[string]bool // active are the hosts that serve callers; nil if all do.
-
-	near   []string        // near caches Neighbours; nil when it must be worked out anew.
-	edge   edge            // edge is what a host must lie within to be among them.
-	all    []HostRecord    // all caches All.
-	live   []string        // live caches Live.
-	order  []string        // order has the names of all records, sorted.
-	ailing map[string]bool // ailing are the hosts that are neither live nor leaving.
-	sums   [buckets]uint64 // sums are digests of parts of the records.
+	active  map[string]bool // active holds the hosts that serve callers; nil if all do.
+
+	neighbourCache  []string            // neighbourCache caches Neighbours; nil if stale.
+	neighbourBounds bounds              // neighbourBounds admits the hosts in neighbourCache.
+	allCache        []HostRecord        // allCache caches All; nil if stale.
+	liveCache       []string            // liveCache caches Live; nil if stale.
+	sortedNames     []string            // sortedNames holds the names of all records.
+	unhealthy       map[string]bool     // unhealthy holds the hosts that are neither live nor leaving.
+	bucketDigests   [bucketCount]uint64 // bucketDigests holds the sum of each bucket's digests.
 }
 
 type hostEntry struct {
-	record  HostRecord
-	changed time.Time
-	heard   time.Time // heard is when it last spoke to this host directly.
-	spoke   bool      // spoke tells that it has spoken to this host since this one started.
-	doubted time.Time // doubted is when this host last suspected it.
-
-	ring uint64 // ring is its distance from this host on the ring.
-	pick uint64 // pick orders hosts as neighbours besides those on the ring, the least first.
+	record      HostRecord
+	changedAt   time.Time
+	heardAt     time.Time // heardAt is the time of the last direct contact.
+	contacted   bool      // contacted reports whether there was any direct contact.
+	suspectedAt time.Time // suspectedAt is when this host last suspected it.
+
+	distance uint64 // distance is its distance from this host on the hash ring.
+	order    uint64 // order ranks hosts as neighbours, lowest first.
 }
 
-func (h *Hosts) entry(now time.Time, r HostRecord) *hostEntry {
+func (h *Hosts) newEntry(now time.Time, r HostRecord) *hostEntry {
 	return &hostEntry{
-		record:  r,
-		changed: now,
-		heard:   now,
-		ring:    xxhash.Sum64String(r.Host) - xxhash.Sum64String(h.self.Host),
-		pick:    h.pickOf(r),
+		record:    r,
+		changedAt: now,
+		heardAt:   now,
+		distance:  xxhash.Sum64String(r.Host) - xxhash.Sum64String(h.self.Host),
+		order:     h.rendezvousOrder(r),
 	}
 }
 
-// pickOf is the order of a host among the picks: those of this host's availability zone come first.
-// News of hosts then crosses zones over the ring and between hosts that serve; over picks of all
-// zones it crossed them twice as often.
-func (h *Hosts) pickOf(r HostRecord) uint64 {
-	const far = 1 << 63
-	pick := Rank(r.Host, h.self.Host) >> 1
+// rendezvousOrder returns the rank of a host as a neighbour by rendezvous hashing. Hosts of this
+// host's availability zone come first, to reduce traffic between zones.
+func (h *Hosts) rendezvousOrder(r HostRecord) uint64 {
+	const otherZone = 1 << 63
+	order := Rank(r.Host, h.self.Host) >> 1
 	if r.AvailabilityZone != h.self.AvailabilityZone {
-		pick |= far
+		order |= otherZone
 	}
-	return pick
+	return order
 }
 
-// NewHosts returns the view of a host that knows only itself.
+// NewHosts returns the view of a host that knows no other host.
 func NewHosts(self HostRecord, opts HostOptions) *Hosts {
-	if opts.Gone == 0 {
-		opts.Gone = 3 * opts.Suspect
+	if opts.GoneAfter == 0 {
+		opts.GoneAfter = 3 * opts.Suspect
 	}
 	if opts.SuspectStandby == 0 {
 		opts.SuspectStandby = opts.Suspect
@@ -90,24 +87,25 @@
 		opts.Forget = 10 * time.Minute
 	}
 	if opts.FullMesh == 0 {
-		opts.FullMesh = fullMesh
+		opts.FullMesh = defaultFullMesh
 	}
 	if opts.Neighbours == 0 {
 		opts.Neighbours = 4
 	}
 	self.Version = max(self.Version, 1)
 	h := &Hosts{
-		opts: opts, self: self, order: []string{self.Host}, ailing: make(map[string]bool),
+		opts: opts, self: self, sortedNames: []string{self.Host}, unhealthy: make(map[string]bool),
 		records: make(map[string]*hostEntry), listed: make(map[string]connector.ListedHost),
 	}
-	h.count(self)
+	h.addDigest(self)
 	return h
 }
 
 // Self returns this host's own record.
 func (h *Hosts) Self() HostRecord { return h.self }
 
-// Say changes this host's own record and reports whether that is news.
+// Say applies a change to this host's own record and reports whether the record differs; if so, its
+// version increases.
 func (h *Hosts) Say(change func(*HostRecord)) (HostRecord, bool) {
 	next := h.self
 	change(&next)
@@ -119,78 +117,78 @@
 	return h.self, true
 }
 
-// changed drops what was worked out from the records.
-func (h *Hosts) changed() { h.all, h.live = nil, nil }
+// invalidate drops the cached results of All and Live.
+func (h *Hosts) invalidate() { h.allCache, h.liveCache = nil, nil }
 
-// count takes a record into the digests. What a change costs must not grow with the number of
-// records: digests over all of 985 were a tenth of what hosts did while all of them started.
-func (h *Hosts) count(r HostRecord) { h.sums[r.bucket()] += r.digest() }
+// addDigest adds a record to the digest of its bucket. Digests are sums, so that the cost of a change
+// does not depend on the number of records.
+func (h *Hosts) addDigest(r HostRecord) { h.bucketDigests[r.bucket()] += r.digest() }
 
-func (h *Hosts) discount(r HostRecord) { h.sums[r.bucket()] -= r.digest() }
+func (h *Hosts) removeDigest(r HostRecord) { h.bucketDigests[r.bucket()] -= r.digest() }
 
 func (h *Hosts) setSelf(r HostRecord) {
-	h.discount(h.self)
+	h.removeDigest(h.self)
 	h.self = r
-	h.count(r)
-	h.changed()
+	h.addDigest(r)
+	h.invalidate()
 }
 
-// add takes in the record of a host that was not known.
+// add adds the record of an unknown host.
 func (h *Hosts) add(now time.Time, r HostRecord) {
-	e := h.entry(now, r)
+	e := h.newEntry(now, r)
 	h.records[r.Host] = e
-	at, _ := slices.BinarySearch(h.order, r.Host)
-	h.order = slices.Insert(h.order, at, r.Host)
-	if h.edge.reaches(e) || h.active[r.Host] {
-		h.near = nil
+	at, _ := slices.BinarySearch(h.sortedNames, r.Host)
+	h.sortedNames = slices.Insert(h.sortedNames, at, r.Host)
+	if h.neighbourBounds.admit(e) || h.active[r.Host] {
+		h.neighbourCache = nil
 	}
-	h.count(r)
-	h.note(r)
-	h.changed()
+	h.addDigest(r)
+	h.updateUnhealthy(r)
+	h.invalidate()
 }
 
 // set replaces the record of a known host.
 func (h *Hosts) set(e *hostEntry, r HostRecord) {
-	if was := e.record; was.State == HostGone != (r.State == HostGone) || was.Peers != r.Peers {
-		h.near = nil
+	if before := e.record; before.State == HostGone != (r.State == HostGone) || before.Peers != r.Peers {
+		h.neighbourCache = nil
 	}
-	h.discount(e.record)
+	h.removeDigest(e.record)
 	e.record = r
-	h.count(r)
-	h.note(r)
-	h.changed()
+	h.addDigest(r)
+	h.updateUnhealthy(r)
+	h.invalidate()
 }
 
-// drop forgets a host.
+// drop removes the record of a host.
 func (h *Hosts) drop(name string) {
-	h.discount(h.records[name].record)
+	h.removeDigest(h.records[name].record)
 	delete(h.records, name)
-	delete(h.ailing, name)
-	if at, found := slices.BinarySearch(h.order, name); found {
-		h.order = slices.Delete(h.order, at, at+1)
+	delete(h.unhealthy, name)
+	if at, found := slices.BinarySearch(h.sortedNames, name); found {
+		h.sortedNames = slices.Delete(h.sortedNames, at, at+1)
 	}
-	h.near = nil
-	h.changed()
+	h.neighbourCache = nil
+	h.invalidate()
 }
 
-// note remembers which hosts are to be looked at although they are no neighbours.
-func (h *Hosts) note(r HostRecord) {
+// updateUnhealthy updates the set of unhealthy hosts, which Tick checks even if they are no neighbours.
+func (h *Hosts) updateUnhealthy(r HostRecord) {
 	if r.State == HostLive || r.State == HostLeaving {
-		delete(h.ailing, r.Host)
+		delete(h.unhealthy, r.Host)
 		return
 	}
-	h.ailing[r.Host] = true
+	h.unhealthy[r.Host] = true
 }
 
-// Merge takes a record that a peer passed on. It returns the records that are
-// news to this host and must be passed on in turn.
+// Merge merges a record received from a peer. It returns the records that were new to this host and
+// must be forwarded.
 func (h *Hosts) Merge(now time.Time, r HostRecord) []HostRecord {
 	if r.Host == h.self.Host {
 		return h.refute(r)
 	}
 	e := h.records[r.Host]
 	if e == nil && r.State == HostGone {
-		return nil // it was forgotten here
+		return nil // already removed here
 	}
 	if e == nil {
 		h.add(now, r)
@@ -200,16 +198,15 @@
 		return nil
 	}
 	if r.Incarnation > e.record.Incarnation {
-		e.heard = now
+		e.heardAt = now
 	}
 	h.set(e, r)
-	e.changed = now
+	e.changedAt = now
 	return []HostRecord{r}
 }
 
-// refute answers what others say of this host. Incarnations come from the time of
-// day: a process that was started after its clock had jumped back would else never
-// be believed against what is remembered of the one before.
+// refute overrides a newer record of this host that a peer holds. The incarnation may have to
+// increase as well: it comes from the clock, which may have been set back before a restart.
 func (h *Hosts) refute(r HostRecord) []HostRecord {
 	if !r.supersedes(h.self) {
 		return nil
@@ -224,34 +221,33 @@
 	return []HostRecord{next}
 }
 
-// Heard notes that a host spoke to this one directly. It reports whether that was the
-// first time.
+// Heard records direct contact with a host, and reports whether it was the first.
 func (h *Hosts) Heard(now time.Time, host string) bool {
 	e := h.records[host]
 	if e == nil {
 		return false
 	}
-	first := !e.spoke
-	e.heard, e.spoke = now, true
+	first := !e.contacted
+	e.heardAt, e.contacted = now, true
 	return first
 }
 
-// Unheard returns the neighbours that have not spoken since this host started. They are
-// known from what was announced once, and may not be there.
+// Unheard returns the neighbours without direct contact since this host started. They are known from
+// announcements or peers only and may not exist any more.
 func (h *Hosts) Unheard() map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range h.Neighbours() {
-		if !h.records[name].spoke {
+		if !h.records[name].contacted {
 			out[name] = true
 		}
 	}
 	return out
 }
 
-// Listed takes the platform's host list.
+// Listed merges the platform's host list and returns the records that must be forwarded.
 func (h *Hosts) Listed(now time.Time, list []connector.ListedHost) []HostRecord {
 	h.listed = make(map[string]connector.ListedHost, len(list))
-	var news []HostRecord
+	var updates []HostRecord
 	for _, l := range list {
 		h.listed[l.Host] = l
 		e := h.records[l.Host]
@@ -265,66 +261,66 @@
 		if l.State == connector.ListedLeaving && e.record.State == HostLive {
 			r := e.record
 			r.State = HostLeaving
-			news = append(news, h.Merge(now, r)...)
+			updates = append(updates, h.Merge(now, r)...)
 		}
 	}
-	return news
+	return updates
 }
 
-// Tick suspects silent neighbours, declares long suspected hosts gone and
-// forgets those that are gone for long.
+// Tick suspects silent neighbours, declares suspected hosts gone after GoneAfter and removes the
+// records of gone hosts after Forget. It returns the records that must be forwarded.
 func (h *Hosts) Tick(now time.Time) []HostRecord {
-	var news []HostRecord
+	var updates []HostRecord
 	for _, name := range slices.Clone(h.Neighbours()) {
 		e := h.records[name]
 		if s := e.record.State; s != HostLive && s != HostLeaving {
 			continue
 		}
-		silent := now.Sub(e.heard) > h.patience(name)
-		again := now.Sub(e.doubted) > h.opts.Gone
-		if silent && again {
-			e.doubted = now
-			news = append(news, h.declare(now, e, HostSuspect))
+		silent := now.Sub(e.heardAt) > h.suspectTimeout(name)
+		mayRepeat := now.Sub(e.suspectedAt) > h.opts.GoneAfter
+		if silent && mayRepeat {
+			e.suspectedAt = now
+			updates = append(updates, h.setState(now, e, HostSuspect))
 		}
 	}
-	for name := range h.ailing {
+	for name := range h.unhealthy {
 		e := h.records[name]
-		_, still := h.listed[name]
+		_, stillListed := h.listed[name]
 		switch e.record.State {
 		case HostSuspect:
-			if now.Sub(e.changed) > h.opts.Gone {
-				news = append(news, h.declare(now, e, HostGone))
+			if now.Sub(e.changedAt) > h.opts.GoneAfter {
+				updates = append(updates, h.setState(now, e, HostGone))
 			}
 		case HostGone:
-			if !still && now.Sub(e.changed) > h.opts.Forget {
+			if !stillListed && now.Sub(e.changedAt) > h.opts.Forget {
 				h.drop(name)
 			}
 		case HostJoining:
-			if !still {
+			if !stillListed {
 				h.drop(name)
 			}
 		}
 	}
-	return news
+	return updates
 }
 
-// patience is the silence after which a neighbour is suspected.
-func (h *Hosts) patience(host string) time.Duration {
+// suspectTimeout returns the silence after which a neighbour is suspected.
+func (h *Hosts) suspectTimeout(host string) time.Duration {
 	if h.Prompt(host) {
 		return h.opts.Suspect
 	}
 	return h.opts.SuspectStandby
 }
 
-func (h *Hosts) declare(now time.Time, e *hostEntry, s HostState) HostRecord {
+func (h *Hosts) setState(now time.Time, e *hostEntry, s HostState) HostRecord {
 	next := e.record
 	next.State = s
 	h.set(e, next)
-	e.changed = now
+	e.changedAt = now
 	return next
 }
 
-// Lookup returns what is known of a host.
+// Lookup returns the record of a host and reports whether it is known.
 func (h *Hosts) Lookup(host string) (HostRecord, bool) {
 	if host == h.self.Host {
 		return h.self, true
@@ -335,29 +331,29 @@
 	return HostRecord{}, false
 }
 
-// All returns every record, this host's own included, sorted by name. The caller must
-// not change it.
+// All returns all records, this host's own included, sorted by name. The caller must not change
+// the slice.
 func (h *Hosts) All() []HostRecord {
-	if h.all == nil {
-		h.all = make([]HostRecord, 0, len(h.order))
-		for _, name := range h.order {
+	if h.allCache == nil {
+		h.allCache = make([]HostRecord, 0, len(h.sortedNames))
+		for _, name := range h.sortedNames {
 			r, _ := h.Lookup(name)
-			h.all = append(h.all, r)
+			h.allCache = append(h.allCache, r)
 		}
 	}
-	return h.all
+	return h.allCache
 }
 
-// Live returns the names of the hosts that can take on duties, this one
-// included unless it is leaving, sorted. The caller must not change it.
+// Live returns the sorted names of the live hosts, which includes this one unless it is leaving.
+// The caller must not change the slice.
 func (h *Hosts) Live() []string {
-	if h.live != nil {
-		return h.live
+	if h.liveCache != nil {
+		return h.liveCache
 	}
 	for _, r := range h.All() {
 		if r.State == HostLive {
-			h.live = append(h.live, r.Host)
+			h.liveCache = append(h.liveCache, r.Host)
 		}
 	}
-	return h.live
+	return h.liveCache
 }
--- a/tracker/host_test.go
+++ b/tracker/host_test.go
@@ -10,17 +10,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStartAfterClockJumpedBack: a host that was started anew with an earlier time
-// of day is believed once it has heard what is remembered of it.
+// TestStartAfterClockJumpedBack: a host that restarts with a lower incarnation, because its clock was
+// set back, must override its old record.
 func TestStartAfterClockJumpedBack(t *testing.T) {
 	before := HostRecord{Host: "a", Incarnation: 9000, Version: 3, State: HostLeaving}
 	other := NewHosts(HostRecord{Host: "b", Incarnation: 1, State: HostLive}, HostOptions{Suspect: time.Second})
 	other.Merge(now, before)
-	anew := NewHosts(HostRecord{Host: "a", Incarnation: 4000, State: HostLive}, HostOptions{Suspect: time.Second})
-	assert.Equal(t, len(other.Merge(now, anew.Self())), 0)
-	said := anew.Merge(now, before)
-	assert.Equal(t, len(said), 1)
-	other.Merge(now, said[0])
+	restarted := NewHosts(HostRecord{Host: "a", Incarnation: 4000, State: HostLive}, HostOptions{Suspect: time.Second})
+	assert.Equal(t, len(other.Merge(now, restarted.Self())), 0)
+	refuted := restarted.Merge(now, before)
+	assert.Equal(t, len(refuted), 1)
+	other.Merge(now, refuted[0])
 	r, _ := other.Lookup("a")
 	assert.Equal(t, r.State, HostLive)
 }
--- a/tracker/neighbours.go
+++ b/tracker/neighbours.go
@@ -8,54 +8,55 @@
 	"slices"
 )
 
-// Neighbours returns the hosts that this one keeps connections to: all of them
-// in a small system, else its successors on a ring by hash, which keeps the
-// graph connected, and some picks by rendezvous, which keep it shallow. A host that
-// serves callers keeps connections to all others that do as well.
+// Neighbours returns the hosts that this one keeps connections to: all in a small fleet; else its
+// successors on a hash ring, which keep the graph connected, and some hosts chosen by rendezvous
+// hashing, which keep its diameter small. Hosts that serve callers are also neighbours of each other.
+// The caller must not change the slice.
 func (h *Hosts) Neighbours() []string {
-	if h.near == nil {
-		h.near = h.neighbours()
+	if h.neighbourCache == nil {
+		h.neighbourCache = h.computeNeighbours()
 	}
-	return h.near
+	return h.neighbourCache
 }
 
-func (h *Hosts) neighbours() []string {
-	var there []*hostEntry
+func (h *Hosts) computeNeighbours() []string {
+	var candidates []*hostEntry
 	for _, e := range h.records {
 		if e.record.State != HostGone && e.record.Peers != "" {
-			there = append(there, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(there) < h.opts.FullMesh {
-		h.edge = widest
-		return names(there)
+	if len(candidates) < h.opts.FullMesh {
+		h.neighbourBounds = unbounded
+		return names(candidates)
 	}
-	ring, rest := first(there, h.opts.Neighbours/2, func(e *hostEntry) uint64 { return e.ring })
-	picks, rest := first(rest, h.opts.Neighbours-len(ring), func(e *hostEntry) uint64 { return e.pick })
-	near := append(names(ring), names(picks)...)
-	h.edge = edge{ring: ring[len(ring)-1].ring, pick: picks[len(picks)-1].pick}
+	successors, rest := smallest(candidates, h.opts.Neighbours/2, func(e *hostEntry) uint64 { return e.distance })
+	nearest, rest := smallest(rest, h.opts.Neighbours-len(successors), func(e *hostEntry) uint64 { return e.order })
+	selected := append(names(successors), names(nearest)...)
+	h.neighbourBounds = bounds{distance: successors[len(successors)-1].distance, order: nearest[len(nearest)-1].order}
 	if !h.active[h.self.Host] {
-		return near
+		return selected
 	}
 	for _, e := range rest {
 		if h.active[e.record.Host] {
-			near = append(near, e.record.Host)
+			selected = append(selected, e.record.Host)
 		}
 	}
-	return near
+	return selected
 }
 
-// edge is how far the last neighbour is away, on the ring and by rendezvous. A host beyond it is
-// none: each of 985 hosts that is news need not be weighed against all others.
-type edge struct{ ring, pick uint64 }
+// bounds holds the ring distance and rendezvous order of the last neighbours. A new host beyond both
+// is no neighbour, so that the neighbours need not be computed again.
+type bounds struct{ distance, order uint64 }
 
-// widest lets any host be a neighbour.
-var widest = edge{ring: math.MaxUint64, pick: math.MaxUint64}
+// unbounded admits any host.
+var unbounded = bounds{distance: math.MaxUint64, order: math.MaxUint64}
 
-func (e edge) reaches(o *hostEntry) bool { return o.ring <= e.ring || o.pick <= e.pick }
+func (e bounds) admit(o *hostEntry) bool { return o.distance <= e.distance || o.order <= e.order }
 
-// first divides entries into the n with the least keys, in order, and the others.
-func first(entries []*hostEntry, n int, key func(*hostEntry) uint64) (chosen, rest []*hostEntry) {
+// smallest splits entries into the n with the smallest keys, sorted, and the others. It reorders
+// entries.
+func smallest(entries []*hostEntry, n int, key func(*hostEntry) uint64) (chosen, rest []*hostEntry) {
 	n = min(n, len(entries))
 	for i := range n {
 		for j := i + 1; j < len(entries); j++ {
--- a/tracker/random_test.go
+++ b/tracker/random_test.go
@@ -18,8 +18,8 @@
 
 func init() { seeder.Fix() }
 
-// TestRandomHosts: what is kept up to date as hosts come, change and go is what would be worked out
-// from all of them.
+// TestRandomHosts: the caches, digests and sets that are updated incrementally always equal those
+// computed from all records.
 func TestRandomHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1000, 0)
@@ -38,23 +38,23 @@
 				state := rapid.SampledFrom([]HostState{HostLive, HostLive, HostLive, HostSuspect, HostLeaving, HostGone}).Draw(t, "state")
 				h.Merge(at, HostRecord{Host: name, Incarnation: uint64(rapid.IntRange(1, 3).Draw(t, "life")), Version: 1, State: state, Peers: name})
 			}
-			assertKept(t, h)
+			assertConsistent(t, h)
 		}
 	})
 }
 
-func assertKept(t *rapid.T, h *Hosts) {
+func assertConsistent(t *rapid.T, h *Hosts) {
 	all := h.All()
 	assert.Equal(t, len(all), len(h.records)+1)
 	assert.Assert(t, slices.IsSortedFunc(all, func(a, b HostRecord) int { return strings.Compare(a.Host, b.Host) }))
-	var sums [buckets]uint64
+	var sums [bucketCount]uint64
 	for _, r := range all {
 		sums[r.bucket()] += r.digest()
 		known, _ := h.Lookup(r.Host)
 		assert.Equal(t, known, r)
-		ailing := r.State != HostLive && r.State != HostLeaving && r.Host != h.self.Host
-		assert.Equal(t, h.ailing[r.Host], ailing)
+		unhealthy := r.State != HostLive && r.State != HostLeaving && r.Host != h.self.Host
+		assert.Equal(t, h.unhealthy[r.Host], unhealthy)
 	}
-	assert.Equal(t, sums, h.sums)
-	assert.DeepEqual(t, slices.Clone(h.Neighbours()), h.neighbours())
+	assert.Equal(t, sums, h.bucketDigests)
+	assert.DeepEqual(t, slices.Clone(h.Neighbours()), h.computeNeighbours())
 }
--- a/tracker/rank.go
+++ b/tracker/rank.go
@@ -5,8 +5,8 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rank returns the rendezvous weight of a host for a key; the host with the
-// highest weight comes first.
+// Rank returns the rendezvous hashing weight of a host for a key. The host with the highest weight
+// ranks first.
 func Rank(host, key string) uint64 {
 	x := xxhash.Sum64String(host) ^ xxhash.Sum64String(key)*0x9e3779b97f4a7c15
 	x ^= x >> 30
@@ -16,8 +16,8 @@
 	return x ^ x>>31
 }
 
-// Place returns the place of a host among others for a key, from 0; -1 if it
-// is not among them.
+// Place returns the index of a host among hosts in rendezvous order for a key, or -1 if hosts does
+// not contain it.
 func Place(hosts []string, host, key string) int {
 	place, found := 0, false
 	own := Rank(host, key)
--- a/tracker/record.go
+++ b/tracker/record.go
@@ -3,37 +3,37 @@
 
 package tracker
 
-// HostState is the state of one of the system's hosts.
+// HostState is the state of a host.
 type HostState string
 
 // The states of a host.
 const (
-	HostJoining HostState = "Joining" // HostJoining is listed but was never heard of.
+	HostJoining HostState = "Joining" // HostJoining is in the host list, but no record of it was received.
 	HostLive    HostState = "Live"
-	HostSuspect HostState = "Suspect" // HostSuspect was silent towards a neighbour.
-	HostLeaving HostState = "Leaving" // HostLeaving drains.
+	HostSuspect HostState = "Suspect" // HostSuspect sent a neighbour no heartbeat in time.
+	HostLeaving HostState = "Leaving" // HostLeaving is draining.
 	HostGone    HostState = "Gone"
 )
 
-// severity orders states of the same version.
-var severity = map[HostState]int{HostJoining: 0, HostLive: 1, HostLeaving: 2, HostSuspect: 3, HostGone: 4}
+// hostSeverity orders states of the same version; the higher one wins.
+var hostSeverity = map[HostState]int{HostJoining: 0, HostLive: 1, HostLeaving: 2, HostSuspect: 3, HostGone: 4}
 
-// HostRecord is what is said of a host.
+// HostRecord describes a host. Hosts gossip these records.
 type HostRecord struct {
 	Host             string    `cbor:"1,keyasint"`
-	Incarnation      uint64    `cbor:"2,keyasint,omitempty"` // Incarnation grows with each start of the process.
-	Version          uint64    `cbor:"3,keyasint,omitempty"` // Version grows with each statement of the host about itself.
+	Incarnation      uint64    `cbor:"2,keyasint,omitempty"` // Incarnation increases with each start of the process.
+	Version          uint64    `cbor:"3,keyasint,omitempty"` // Version increases when the host changes this record.
 	State            HostState `cbor:"4,keyasint,omitempty"`
 	AvailabilityZone string    `cbor:"5,keyasint,omitempty"`
 	Peers            string    `cbor:"6,keyasint,omitempty"`  // Peers is the address for other hosts.
 	Callers          string    `cbor:"7,keyasint,omitempty"`  // Callers is the address for callers.
-	Operators        string    `cbor:"8,keyasint,omitempty"`  // Operators is the address of console and state dump.
-	Revision         uint64    `cbor:"9,keyasint,omitempty"`  // Revision is the configuration revision in force there.
-	LinkMbps         float64   `cbor:"10,keyasint,omitempty"` // LinkMbps is the width of the host's own link; 0 if it was not told.
-	Cores            float64   `cbor:"11,keyasint,omitempty"` // Cores is how many processor cores the host may use; 0 if it was not told.
-	ZoneUse          float64   `cbor:"12,keyasint,omitempty"` // ZoneUse is how many cores the hosts of its availability zone use together, told by one host of the zone; 0 elsewhere.
-	Ready            bool      `cbor:"14,keyasint,omitempty"` // Ready tells that the host knows what it needs to serve callers.
-	Spare            float64   `cbor:"13,keyasint,omitempty"` // Spare is the part of its room that is free.
+	Operators        string    `cbor:"8,keyasint,omitempty"`  // Operators is the address of the console and the state dump.
+	Revision         uint64    `cbor:"9,keyasint,omitempty"`  // Revision is that of the configuration in force.
+	LinkMbps         float64   `cbor:"10,keyasint,omitempty"` // LinkMbps is the link's bandwidth; 0 if unknown.
+	Cores            float64   `cbor:"11,keyasint,omitempty"` // Cores is the number of available cores; 0 if unknown.
+	ZoneUse          float64   `cbor:"12,keyasint,omitempty"` // ZoneUse is the number of cores in use in its zone, set by one host.
+	Ready            bool      `cbor:"14,keyasint,omitempty"` // Ready reports whether the host can serve callers.
+	Spare            float64   `cbor:"13,keyasint,omitempty"` // Spare is the free fraction of its capacity.
 }
 
 // supersedes reports whether r is newer than o.
@@ -44,5 +44,5 @@
 	if r.Version != o.Version {
 		return r.Version > o.Version
 	}
-	return severity[r.State] > severity[o.State]
+	return hostSeverity[r.State] > hostSeverity[o.State]
 }
--- a/tracker/upstream.go
+++ b/tracker/upstream.go
@@ -17,13 +17,13 @@
 // The states of an upstream.
 const (
 	UpstreamLive    UpstreamState = "Live"
-	UpstreamSilent  UpstreamState = "Silent"  // UpstreamSilent does not answer its watchers.
-	UpstreamLeaving UpstreamState = "Leaving" // UpstreamLeaving must get no new work.
+	UpstreamSilent  UpstreamState = "Silent"  // UpstreamSilent did not answer its watchers.
+	UpstreamLeaving UpstreamState = "Leaving" // UpstreamLeaving must get no new requests.
 )
 
 var upstreamSeverity = map[UpstreamState]int{UpstreamLive: 0, UpstreamSilent: 1, UpstreamLeaving: 2}
 
-// UpstreamRecord is what is said of an upstream.
+// UpstreamRecord describes an upstream. Hosts gossip these records.
 type UpstreamRecord struct {
 	Upstream    string
 	Incarnation uint64
@@ -41,52 +41,51 @@
 	return upstreamSeverity[r.State] > upstreamSeverity[o.State]
 }
 
-// LoadDigest is a load report as a watcher passes it on.
+// LoadDigest is a load report as gossiped by a watcher.
 type LoadDigest struct {
 	Upstream      string
 	Watcher       string
-	Stamp         uint64 // Stamp grows with each digest of a watcher about an upstream.
+	Stamp         uint64 // Stamp increases with each digest of a watcher about an upstream.
 	Running       int
 	Waiting       int
 	WaitingTokens int
 	Models        []wire.LoadedModel
 	Role          string
-	Same          bool // Same tells that Models and Role are left out, being as they were.
+	Same          bool // Same reports whether Models and Role are left out because they have not changed.
 }
 
-// SameLoad reports whether two digests say the same but for their stamps.
+// SameLoad reports whether two digests have the same load, models and role.
 func SameLoad(a, b LoadDigest) bool {
 	return a.Running == b.Running && a.Waiting == b.Waiting && a.WaitingTokens == b.WaitingTokens && SameModels(a, b)
 }
 
-// SameModels reports whether two digests name the same models and role.
+// SameModels reports whether two digests have the same models and role.
 func SameModels(a, b LoadDigest) bool { return a.Role == b.Role && slices.Equal(a.Models, b.Models) }
 
-// UpstreamOptions set the times for upstreams.
+// UpstreamOptions configures the tracking of upstreams.
 type UpstreamOptions struct {
-	Watchers  int           // Watchers is the number of hosts that ask an upstream for its load; default 2.
-	Failures  int           // Failures is the number of unanswered questions after which it is silent; default 3.
-	BackAfter time.Duration // BackAfter is how long an upstream that was leaving must say it is live; default 5 s.
+	Watchers  int           // Watchers is the number of hosts that poll an upstream; default 2.
+	Failures  int           // Failures is the number of failed polls in a row that make it silent; default 3.
+	BackAfter time.Duration // BackAfter is how long a leaving upstream must report live; default 5 s.
 }
 
-// Upstreams is what one host knows of all upstreams. It is not safe for
-// concurrent use.
+// Upstreams is one host's view of all upstreams. It is not safe for concurrent use.
 type Upstreams struct {
 	opts    UpstreamOptions
 	records map[string]*upstreamEntry
 }
 
 type upstreamEntry struct {
-	record    UpstreamRecord
-	failures  int
-	liveSince time.Time
-	digest    LoadDigest
-	stamps    map[string]uint64 // stamps holds the newest stamp of each watcher.
-	loadAt    time.Time
-	listed    bool // listed tells that the host list has shown it as leaving.
+	record        UpstreamRecord
+	failures      int
+	liveSince     time.Time
+	digest        LoadDigest
+	lastStamps    map[string]uint64 // lastStamps holds the newest stamp of each watcher.
+	loadTime      time.Time
+	listedLeaving bool // listedLeaving reports whether the host list shows it as leaving.
 }
 
-// NewUpstreams returns a view without upstreams.
+// NewUpstreams returns an empty view.
 func NewUpstreams(opts UpstreamOptions) *Upstreams {
 	if opts.Watchers == 0 {
 		opts.Watchers = 2
@@ -103,13 +102,13 @@
 func (u *Upstreams) entry(name string) *upstreamEntry {
 	e := u.records[name]
 	if e == nil {
-		e = &upstreamEntry{record: UpstreamRecord{Upstream: name, State: UpstreamLive}, stamps: make(map[string]uint64)}
+		e = &upstreamEntry{record: UpstreamRecord{Upstream: name, State: UpstreamLive}, lastStamps: make(map[string]uint64)}
 		u.records[name] = e
 	}
 	return e
 }
 
-// Retain forgets the upstreams for which keep is false.
+// Retain removes the upstreams for which keep returns false.
 func (u *Upstreams) Retain(keep func(name string) bool) {
 	for n := range u.records {
 		if !keep(n) {
@@ -118,7 +117,7 @@
 	}
 }
 
-// Merge takes a record that a peer passed on and reports whether it is news.
+// Merge merges a record received from a peer and reports whether it was new.
 func (u *Upstreams) Merge(r UpstreamRecord) bool {
 	e := u.entry(r.Upstream)
 	if !r.supersedes(e.record) {
@@ -128,24 +127,22 @@
 	return true
 }
 
-// MergeLoad takes a load digest that a peer passed on and reports whether it
-// is news.
+// MergeLoad merges a load digest received from a peer and reports whether it was new.
 func (u *Upstreams) MergeLoad(now time.Time, d LoadDigest) bool {
 	e := u.entry(d.Upstream)
-	if d.Stamp <= e.stamps[d.Watcher] || d.Same && e.digest.Stamp == 0 {
-		return false // old, or about models that this host was never told
+	if d.Stamp <= e.lastStamps[d.Watcher] || d.Same && e.digest.Stamp == 0 {
+		return false // stale, or the models are unknown here
 	}
-	e.stamps[d.Watcher] = d.Stamp
+	e.lastStamps[d.Watcher] = d.Stamp
 	if d.Same {
 		d.Models, d.Role, d.Same = e.digest.Models, e.digest.Role, false
 	}
 	e.digest = d
-	e.loadAt = now
+	e.loadTime = now
 	return true
 }
 
-// Leave notes a sign that an upstream is leaving, and returns its record if
-// that is news.
+// Leave marks an upstream as leaving. It returns its record and whether the record has changed.
 func (u *Upstreams) Leave(name string) (UpstreamRecord, bool) {
 	e := u.entry(name)
 	if e.record.State == UpstreamLeaving {
@@ -157,15 +154,15 @@
 	return e.record, true
 }
 
-// Reported takes a report that an upstream gave to this host, one of its
-// watchers, and returns its record if that is news.
+// Reported applies a load report that this host, as a watcher, got from an upstream. It returns the
+// upstream's record and whether the record has changed.
 func (u *Upstreams) Reported(now time.Time, watcher, name string, rep wire.LoadReport) (UpstreamRecord, bool) {
 	e := u.entry(name)
 	e.failures = 0
 	d := LoadDigest{
 		Upstream:      name,
 		Watcher:       watcher,
-		Stamp:         max(uint64(now.UnixMilli()), e.stamps[watcher]+1),
+		Stamp:         max(uint64(now.UnixMilli()), e.lastStamps[watcher]+1),
 		Running:       rep.Running,
 		Waiting:       rep.Waiting,
 		WaitingTokens: rep.WaitingTokens,
@@ -179,17 +176,17 @@
 	}
 	if rep.Incarnation > e.record.Incarnation {
 		e.record = UpstreamRecord{Upstream: name, Incarnation: rep.Incarnation, State: state}
-		e.listed = false
+		e.listedLeaving = false
 		return e.record, true
 	}
 	if rep.Incarnation < e.record.Incarnation {
 		return e.record, false
 	}
-	return u.observe(now, e, state)
+	return u.setState(now, e, state)
 }
 
-// observe changes the state within one incarnation.
-func (u *Upstreams) observe(now time.Time, e *upstreamEntry, state UpstreamState) (UpstreamRecord, bool) {
+// setState changes the state within one incarnation.
+func (u *Upstreams) setState(now time.Time, e *upstreamEntry, state UpstreamState) (UpstreamRecord, bool) {
 	switch {
 	case state == e.record.State:
 		e.liveSince = time.Time{}
@@ -198,7 +195,7 @@
 		if e.liveSince.IsZero() {
 			e.liveSince = now
 		}
-		if e.listed || now.Sub(e.liveSince) < u.opts.BackAfter {
+		if e.listedLeaving || now.Sub(e.liveSince) < u.opts.BackAfter {
 			return e.record, false
 		}
 	}
@@ -208,42 +205,42 @@
 	return e.record, true
 }
 
-// Unanswered notes that an upstream did not answer this host, one of its
-// watchers, and returns its record if that is news.
+// Unanswered counts a poll by this host, as a watcher, that an upstream did not answer. It returns
+// the upstream's record and whether the record has changed.
 func (u *Upstreams) Unanswered(now time.Time, name string) (UpstreamRecord, bool) {
 	e := u.entry(name)
 	e.failures++
 	if e.failures < u.opts.Failures || e.record.State != UpstreamLive {
 		return e.record, false
 	}
-	return u.observe(now, e, UpstreamSilent)
+	return u.setState(now, e, UpstreamSilent)
 }
 
-// Listed takes what the platform's host list says of an upstream and returns
-// its record if that is news.
+// Listed applies the state of an upstream in the platform's host list. It returns the upstream's
+// record and whether the record has changed.
 func (u *Upstreams) Listed(name string, leaving bool) (UpstreamRecord, bool) {
 	e := u.entry(name)
-	e.listed = leaving
+	e.listedLeaving = leaving
 	if !leaving {
 		return e.record, false
 	}
 	return u.Leave(name)
 }
 
-// Lookup returns what is known of an upstream.
+// Lookup returns the record of an upstream, its newest load digest and when that was merged.
 func (u *Upstreams) Lookup(name string) (UpstreamRecord, LoadDigest, time.Time) {
 	e := u.records[name]
 	if e == nil {
 		return UpstreamRecord{Upstream: name, State: UpstreamLive}, LoadDigest{}, time.Time{}
 	}
 	r := e.record
-	if e.listed {
+	if e.listedLeaving {
 		r.State = UpstreamLeaving
 	}
-	return r, e.digest, e.loadAt
+	return r, e.digest, e.loadTime
 }
 
-// All returns every record that says more than nothing, sorted by name.
+// All returns the records that differ from the default of an unknown upstream, sorted by name.
 func (u *Upstreams) All() []UpstreamRecord {
 	var out []UpstreamRecord
 	for _, e := range u.records {
@@ -255,7 +252,7 @@
 	return out
 }
 
-// Loads returns the newest load digest of every upstream that has one.
+// Loads returns the newest load digest of each upstream that has one.
 func (u *Upstreams) Loads() []LoadDigest {
 	var out []LoadDigest
 	for _, e := range u.records {
--- a/tracker/upstream_test.go
+++ b/tracker/upstream_test.go
@@ -14,9 +14,9 @@
 
 var now = time.Unix(1000, 0)
 
-// TestModelsAreKnownFirst gives a new host a digest that leaves the models out:
-// it does not take the upstream as one without models.
-func TestModelsAreKnownFirst(t *testing.T) {
+// TestLoadWithoutModelsNeedsKnownModels: a host that gets a digest without models for an unknown
+// upstream must not take it for one that has no models.
+func TestLoadWithoutModelsNeedsKnownModels(t *testing.T) {
 	u := NewUpstreams(UpstreamOptions{})
 	assert.Assert(t, !u.MergeLoad(now, LoadDigest{Upstream: "u", Watcher: "a", Stamp: 5, Same: true}))
 	full := LoadDigest{Upstream: "u", Watcher: "b", Stamp: 1, Models: []wire.LoadedModel{{Name: "m", Version: "v"}}}
@@ -27,14 +27,13 @@
 	assert.DeepEqual(t, d.Models, full.Models)
 }
 
-// TestLeavingIsSticky: one live report does not bring an upstream back, a new
-// incarnation does.
+// TestLeavingIsSticky: one live report must not make a leaving upstream live, a new incarnation does.
 func TestLeavingIsSticky(t *testing.T) {
 	u := NewUpstreams(UpstreamOptions{})
 	live := wire.LoadReport{Incarnation: 7, State: wire.LoadLive}
 	u.Reported(now, "a", "u", live)
-	_, news := u.Leave("u")
-	assert.Assert(t, news)
+	_, changed := u.Leave("u")
+	assert.Assert(t, changed)
 	u.Reported(now.Add(time.Second), "a", "u", live)
 	r, _, _ := u.Lookup("u")
 	assert.Equal(t, r.State, UpstreamLeaving)
@@ -43,7 +42,7 @@
 	assert.Equal(t, r.State, UpstreamLive)
 }
 
-// TestListedAsLeaving holds against gossip from hosts that do not know yet.
+// TestListedAsLeaving: gossip from hosts that have not read the host list must not override it.
 func TestListedAsLeaving(t *testing.T) {
 	u := NewUpstreams(UpstreamOptions{})
 	u.Listed("u", true)
@@ -52,24 +51,24 @@
 	assert.Equal(t, r.State, UpstreamLeaving)
 }
 
-// TestRefute: a host that is suspected says so with a higher version.
+// TestRefute: a suspected host refutes the suspicion with a higher version.
 func TestRefute(t *testing.T) {
 	h := NewHosts(HostRecord{Host: "a", Incarnation: 1, State: HostLive}, HostOptions{Suspect: time.Second})
-	news := h.Merge(now, HostRecord{Host: "a", Incarnation: 1, Version: 1, State: HostSuspect})
-	assert.Equal(t, len(news), 1)
-	assert.Equal(t, news[0].State, HostLive)
-	assert.Equal(t, news[0].Version, uint64(2))
+	updates := h.Merge(now, HostRecord{Host: "a", Incarnation: 1, Version: 1, State: HostSuspect})
+	assert.Equal(t, len(updates), 1)
+	assert.Equal(t, updates[0].State, HostLive)
+	assert.Equal(t, updates[0].Version, uint64(2))
 	assert.Equal(t, len(h.Merge(now, HostRecord{Host: "a", Incarnation: 1, Version: 1, State: HostGone})), 0)
 }
 
-// TestMeshIsConnected builds 410 views and walks the neighbours' graph.
+// TestMeshIsConnected: the graph of neighbours is connected and has a small diameter.
 func TestMeshIsConnected(t *testing.T) {
 	const n = 410
 	names := make([]string, n)
 	for i := range names {
 		names[i] = "host-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 	}
-	edges := make(map[string][]string)
+	graph := make(map[string][]string)
 	for _, self := range names {
 		h := NewHosts(HostRecord{Host: self, State: HostLive}, HostOptions{Suspect: time.Second})
 		for _, o := range names {
@@ -77,16 +76,16 @@
 				h.Merge(now, HostRecord{Host: o, Incarnation: 1, Version: 1, State: HostLive, Peers: o})
 			}
 		}
-		near := h.Neighbours()
-		assert.Equal(t, len(near), 4)
-		edges[self] = near
+		neighbours := h.Neighbours()
+		assert.Equal(t, len(neighbours), 4)
+		graph[self] = neighbours
 	}
 	depth := map[string]int{names[0]: 0}
 	queue := []string{names[0]}
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		for _, o := range edges[at] {
+		for _, o := range graph[at] {
 			if _, seen := depth[o]; !seen {
 				depth[o] = depth[at] + 1
 				queue = append(queue, o)
