--- a/introducer/doc.go
+++ b/introducer/doc.go
@@ -1,21 +1,20 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package introducer decides when a host that starts calls the platform's store, to find the
-// other hosts and to be found by them.
+// Package introducer decides when a starting host calls the platform's store, to discover the
+// other hosts and to be discovered by them.
 //
-// Announcements are appended to one partition of the store, which takes them one at a time:
-// some 250 a second, and none while 2 s of them wait. Hosts that start together must not all
-// append, nor append again at a fixed pace: 985 hosts that did so kept the partition full, each
-// gave its call up before its turn came, appended once more, and none ever read of another.
+// Announcements are appended to one partition of the store, which processes them one at a time
+// and rejects them while its queue is long. Hosts that start together must neither all append
+// nor retry at a fixed interval, as they would keep the partition overloaded.
 //
-// So a host reads before it writes, and announces itself only while few others are announced:
-// whoever reads of one of these greets it, and hosts tell each other of the rest. Hosts that all
-// start for the first time read at times drawn at random. Pauses after failures grow and are
-// drawn at random as well. The number of appends so depends on the number of introducers, not
-// on that of hosts.
+// A host therefore reads before it writes, and announces itself only while few others are
+// announced: hosts that read an announcement contact its host, and learn of the rest by gossip.
+// Hosts that all start for the first time add jitter to their first read, and failed calls are
+// retried with exponential backoff and jitter. The number of appends thus depends on the number
+// of announced hosts that are needed, not on the size of the fleet.
 //
-// The package is pure: it does no I/O and reads no clock.
+// The package does no I/O and reads no clock.
 //
 // # Usage
 //
@@ -25,7 +24,7 @@
 //		page, err := store.Announced(ctx, in.After())
 //		in.Found(now, introducer.Page{Hosts: hosts, Next: page.Next}, err)
 //	case introducer.CallAnnounce:
-//		in.Announced(now, store.Announce(ctx, name, card))
+//		in.Announced(now, store.Announce(ctx, name, record))
 //	}
-//	in.Met() // another host has spoken
+//	in.Met() // another host was contacted
 package introducer
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -11,31 +11,27 @@
 )
 
 const (
-	// Introducers is the number of announced hosts from which on others need not announce
-	// themselves. Each host that starts greets four of those that it reads of: of 2,000 that
-	// start together, 170 greet each introducer.
+	// Introducers is the number of announced hosts from which others need not announce themselves:
+	// enough to spread the first contacts of a large fleet over them.
 	Introducers = 48
-	// FirstSpread is the time over which hosts that all start for the first time read the
-	// announcements. Those that read before the first Introducers announcements are there
-	// announce themselves as well: of 2,000 hosts 162 in all (TestHerdMeets), 0.65 s of appends
-	// where the store lets 2 s wait.
+	// FirstSpread is the jitter of the first read of hosts that all start for the first time. Hosts that
+	// read before there are Introducers announcements append their own as well, so that it bounds the
+	// number of concurrent appends.
 	FirstSpread = time.Second
-	// answerTime is how long hosts that were read of have to speak, before more are read of.
-	answerTime = 1500 * time.Millisecond
-	// longestAppend and longestRead bound the pause after a failed call. Reads are no herd: 2,000
-	// hosts make 5,300 a second, a third of what a store takes that serves 985; and the longer the
-	// pause, the later callers are served once the store is back: with 4 s a day on which eight
-	// hosts and the store were lost together, twice, was worth 0.28 instead of 0.31, with 1 s 0.29.
-	longestAppend = 4 * time.Second
-	longestRead   = 500 * time.Millisecond
+	// contactTimeout is how long to wait for contact with announced hosts before the next page is read.
+	contactTimeout = 1500 * time.Millisecond
+	// maxAppendBackoff and maxReadBackoff bound the backoff after a failed call. Reads are cheap for the
+	// store, and a long backoff would delay serving after it has recovered.
+	maxAppendBackoff = 4 * time.Second
+	maxReadBackoff   = 500 * time.Millisecond
 )
 
-// Call is what a host is to ask of the store.
+// Call is a call to the store.
 type Call string
 
 const (
 	CallNone     Call = "None"
-	CallFind     Call = "Find"     // CallFind asks for a page of announcements.
+	CallFind     Call = "Find"     // CallFind reads a page of announcements.
 	CallAnnounce Call = "Announce" // CallAnnounce writes this host's own announcement.
 )
 
@@ -45,37 +41,37 @@
 	Next  string // Next is where the next page begins; empty if none follows.
 }
 
-// Options set up an Introducer.
+// Options configures an Introducer.
 type Options struct {
 	Host  string // Host is this host's name.
 	Peers string // Peers is its address for other hosts.
-	// FirstStart tells that all hosts start for the first time, so that nobody is announced.
+	// FirstStart reports whether all hosts start for the first time, so that none is announced yet.
 	FirstStart bool
-	Again      time.Duration // Again is the pause after the first failed call; default 250 ms.
-	Seed       uint64        // Seed must differ between hosts.
+	Again      time.Duration // Again is the backoff after the first failed call; default 250 ms.
+	Seed       uint64        // Seed is that of the jitter; it must differ between hosts.
 }
 
-// Introducer is one host's way into the fleet. It is not safe for concurrent use.
+// Introducer discovers the other hosts of the fleet for one host. It is not safe for concurrent use.
 type Introducer struct {
-	opts    Options
-	rng     *rand.Rand
-	due     time.Time // due is when the next call is due; zero before the first look at the clock.
-	calling bool
-	pause   time.Duration // pause is the least that the next pause after a failure may last.
-
-	after     string // after is the name behind which the next page begins.
-	read      bool   // read tells that announcements were read.
-	current   bool   // current tells that they were read since this host last tried to announce itself.
-	others    bool   // others tells that the last page named other hosts.
-	last      bool   // last tells that no page follows it.
-	needed    bool   // needed tells that few others are announced.
-	failed    bool   // failed tells that a call has failed since the last draw of a time to announce itself.
-	announced bool
-	met       bool // met tells that another host has spoken.
-	over      bool
+	opts        Options
+	rng         *rand.Rand
+	dueAt       time.Time // dueAt is when the next call is due; zero before the first call of Next.
+	callPending bool
+	backoff     time.Duration // backoff is the last backoff without its jitter.
+
+	pageStart      string // pageStart is the name after which the next page begins.
+	hasRead        bool   // hasRead reports whether a page was ever read.
+	readIsFresh    bool   // readIsFresh reports whether a page was read since the last attempt to announce.
+	othersOnPage   bool   // othersOnPage reports whether the last page had other hosts.
+	lastPage       bool   // lastPage reports whether no page follows it.
+	announceNeeded bool   // announceNeeded reports whether too few others are announced.
+	hasFailed      bool   // hasFailed reports whether a call failed since FirstSpread was last applied.
+	announced      bool
+	contacted      bool // contacted reports whether there was contact with another host.
+	done           bool
 }
 
-// New returns the introducer of a host that starts.
+// New returns an Introducer for a host that starts.
 func New(opts Options) *Introducer {
 	if opts.Again == 0 {
 		opts.Again = 250 * time.Millisecond
@@ -83,58 +79,58 @@
 	return &Introducer{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1))}
 }
 
-// Read tells that the announcements were read, at least the first page of them.
-func (i *Introducer) Read() bool { return i.read }
+// Read reports whether at least the first page of announcements was read.
+func (i *Introducer) Read() bool { return i.hasRead }
 
-// Over tells that nothing is left to do: another host has spoken, or all announcements were
-// read and nobody did.
-func (i *Introducer) Over() bool { return i.over }
+// Over reports whether discovery has ended: another host was contacted, or all announcements were
+// read without one.
+func (i *Introducer) Over() bool { return i.done }
 
-// After returns the name behind which the next page begins; empty for the first.
-func (i *Introducer) After() string { return i.after }
+// After returns the name after which the next page begins; empty for the first page.
+func (i *Introducer) After() string { return i.pageStart }
 
-// Met tells that another host has spoken. It tells the others of this one.
-func (i *Introducer) Met() { i.met = true }
+// Met records contact with another host, which makes this one known to the rest.
+func (i *Introducer) Met() { i.contacted = true }
 
-// Next returns the call that is due. Its end must be told by Found or Announced.
+// Next returns the call that is due. Its result must be passed to Found or Announced.
 func (i *Introducer) Next(now time.Time) Call {
-	if i.due.IsZero() {
-		i.due = now
+	if i.dueAt.IsZero() {
+		i.dueAt = now
 		if i.opts.FirstStart {
-			i.due = now.Add(i.draw(FirstSpread))
+			i.dueAt = now.Add(i.randomBelow(FirstSpread))
 		}
 	}
-	if i.over || i.calling || now.Before(i.due) {
+	if i.done || i.callPending || now.Before(i.dueAt) {
 		return CallNone
 	}
-	call := i.step()
-	i.over, i.calling = call == CallNone, call != CallNone
+	call := i.decide()
+	i.done, i.callPending = call == CallNone, call != CallNone
 	return call
 }
 
-func (i *Introducer) step() Call {
+func (i *Introducer) decide() Call {
 	switch {
-	case i.met && !i.needed:
+	case i.contacted && !i.announceNeeded:
 		return CallNone
-	case !i.current:
+	case !i.readIsFresh:
 		return CallFind
-	case i.needed && !i.announced:
+	case i.announceNeeded && !i.announced:
 		return CallAnnounce
-	case i.met:
+	case i.contacted:
 		return CallNone
-	case i.others && !i.announced:
-		return CallAnnounce // nobody has answered: those that are announced may be gone
-	case i.last:
+	case i.othersOnPage && !i.announced:
+		return CallAnnounce // the announced hosts may be gone
+	case i.lastPage:
 		return CallNone
 	}
 	return CallFind
 }
 
-// Found takes in a page of announcements.
+// Found handles the result of CallFind.
 func (i *Introducer) Found(now time.Time, p Page, err error) {
-	i.calling = false
+	i.callPending = false
 	if err != nil {
-		i.fail(now, longestRead)
+		i.backOff(now, maxReadBackoff)
 		return
 	}
 	others := 0
@@ -146,37 +142,37 @@
 			i.announced = true
 		}
 	}
-	i.needed = p.Next == "" && (others == 0 || i.after == "" && others < Introducers)
-	i.read, i.current, i.pause = true, true, 0
-	i.others, i.last, i.after = others > 0, p.Next == "", p.Next
-	i.due = now
+	i.announceNeeded = p.Next == "" && (others == 0 || i.pageStart == "" && others < Introducers)
+	i.hasRead, i.readIsFresh, i.backoff = true, true, 0
+	i.othersOnPage, i.lastPage, i.pageStart = others > 0, p.Next == "", p.Next
+	i.dueAt = now
 	switch {
-	case i.needed && !i.announced && i.failed:
-		// The store is back, and all hosts that it had turned away read it now.
-		i.failed, i.current, i.due = false, false, now.Add(i.draw(FirstSpread))
-	case i.others && (i.announced || !i.needed):
-		i.due = now.Add(answerTime)
+	case i.announceNeeded && !i.announced && i.hasFailed:
+		// The store has recovered, and all hosts read it at the same time: read again with jitter.
+		i.hasFailed, i.readIsFresh, i.dueAt = false, false, now.Add(i.randomBelow(FirstSpread))
+	case i.othersOnPage && (i.announced || !i.announceNeeded):
+		i.dueAt = now.Add(contactTimeout)
 	}
 }
 
-// Announced takes in how the call ended that announced this host. One that failed may have
-// been carried out: the announcements are read before it is made again.
+// Announced handles the result of CallAnnounce. A failed append may have succeeded in the store: the
+// announcements are read before it is repeated.
 func (i *Introducer) Announced(now time.Time, err error) {
-	i.calling, i.current, i.after = false, false, ""
+	i.callPending, i.readIsFresh, i.pageStart = false, false, ""
 	if err != nil {
-		i.fail(now, longestAppend)
+		i.backOff(now, maxAppendBackoff)
 		return
 	}
-	i.announced, i.pause = true, 0
+	i.announced, i.backoff = true, 0
 }
 
-// fail draws the time of the next call after one that failed.
-func (i *Introducer) fail(now time.Time, longest time.Duration) {
-	i.failed = true
-	i.pause = min(max(2*i.pause, i.opts.Again), longest/2)
-	i.due = now.Add(i.pause + i.draw(i.pause))
+// backOff schedules the next call after a failed one, with exponential backoff and jitter.
+func (i *Introducer) backOff(now time.Time, maxBackoff time.Duration) {
+	i.hasFailed = true
+	i.backoff = min(max(2*i.backoff, i.opts.Again), maxBackoff/2)
+	i.dueAt = now.Add(i.backoff + i.randomBelow(i.backoff))
 }
 
-func (i *Introducer) draw(d time.Duration) time.Duration {
+func (i *Introducer) randomBelow(d time.Duration) time.Duration {
 	return time.Duration(i.rng.Int64N(int64(d)))
 }
