--- a/activator/gauge.go
+++ b/activator/gauge.go
@@ -6,52 +6,52 @@
 import "time"
 
 const (
-	// riseBy and riseLeast are how far use must rise above what was told last before it
-	// is told again: each change goes to all hosts.
-	riseBy    = 1.25
-	riseLeast = 0.1 // riseLeast is in cores.
-	// fallTo is the part of what was told last under which use must stay for fallAfter
-	// before less is told, so that hosts are not called and sent away in turns.
-	fallTo    = 0.6
-	fallAfter = 10 * time.Second
-	// smoothing is the time over which use is averaged: a garbage collection or one
-	// long prompt is no trend.
-	smoothing = 2 * time.Second
+	// riseFactor and minRiseCores are how far use must exceed the last reported value before
+	// it is reported again: each report goes to all hosts.
+	riseFactor   = 1.25
+	minRiseCores = 0.1
+	// fallFactor is the fraction of the last reported value below which use must stay for
+	// fallDelay before less is reported, so that hosts do not flap.
+	fallFactor = 0.6
+	fallDelay  = 10 * time.Second
+	// smoothingTime is the time constant of the average, which filters short peaks such as
+	// a garbage collection.
+	smoothingTime = 2 * time.Second
 )
 
-// Gauge turns measurements of what the hosts of an availability zone use into the
-// figure that all hosts are told. The zero value is ready.
+// Gauge smooths measurements of the cores in use in an availability zone, and applies
+// hysteresis to the value that is reported to all hosts. The zero value is ready to use.
 type Gauge struct {
-	told  float64
-	mean  float64
-	at    time.Time
-	below time.Time // below is since when use is under what may be told as less.
+	reported   float64
+	mean       float64
+	updatedAt  time.Time
+	belowSince time.Time // belowSince is since when use permits a lower report; zero if it does not.
 }
 
-// Update takes the cores that are used now. It returns the figure to tell, and whether
-// it has changed.
-func (g *Gauge) Update(now time.Time, used float64) (told float64, changed bool) {
+// Update adds a measurement of the cores in use. It returns the value to report, in cores,
+// and whether it has changed.
+func (g *Gauge) Update(now time.Time, used float64) (reported float64, changed bool) {
 	g.average(now, used)
 	switch {
-	case g.mean > g.told*riseBy && g.mean > g.told+riseLeast:
-		g.told, g.below = g.mean, time.Time{}
-		return g.told, true
-	case g.mean >= g.told*fallTo || g.told <= riseLeast:
-		g.below = time.Time{}
-	case g.below.IsZero():
-		g.below = now
-	case now.Sub(g.below) >= fallAfter:
-		g.told, g.below = g.mean, time.Time{}
-		return g.told, true
+	case g.mean > g.reported*riseFactor && g.mean > g.reported+minRiseCores:
+		g.reported, g.belowSince = g.mean, time.Time{}
+		return g.reported, true
+	case g.mean >= g.reported*fallFactor || g.reported <= minRiseCores:
+		g.belowSince = time.Time{}
+	case g.belowSince.IsZero():
+		g.belowSince = now
+	case now.Sub(g.belowSince) >= fallDelay:
+		g.reported, g.belowSince = g.mean, time.Time{}
+		return g.reported, true
 	}
-	return g.told, false
+	return g.reported, false
 }
 
 func (g *Gauge) average(now time.Time, used float64) {
 	weight := 1.0
-	if !g.at.IsZero() {
-		weight = min(1, float64(now.Sub(g.at))/float64(smoothing))
+	if !g.updatedAt.IsZero() {
+		weight = min(1, float64(now.Sub(g.updatedAt))/float64(smoothingTime))
 	}
 	g.mean += weight * (used - g.mean)
-	g.at = now
+	g.updatedAt = now
 }
--- a/activator/gauge_test.go
+++ b/activator/gauge_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestGauge plays how the use of a zone goes and counts what is told to all hosts.
+// TestGauge: changes of use lead to few reports, and the last one is close to the use.
 func TestGauge(t *testing.T) {
 	text, err := os.ReadFile("testdata/gauge.json")
 	assert.NilError(t, err)
@@ -22,8 +22,8 @@
 			Use float64
 			For int // For is in seconds.
 		}
-		Most  int     // Most is the largest number of times that something is told.
-		Above float64 // Above and Below bound what was told last.
+		Most  int     // Most bounds the number of reports.
+		Above float64 // Above and Below bound the last report.
 		Below float64
 	}
 	assert.NilError(t, json.Unmarshal(text, &cases))
@@ -31,18 +31,18 @@
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
 			var g Gauge
-			now, told, times := time.Unix(1000, 0), 0.0, 0
+			now, reported, reports := time.Unix(1000, 0), 0.0, 0
 			for _, s := range c.Steps {
 				for end := now.Add(time.Duration(s.For) * time.Second); now.Before(end); now = now.Add(step) {
 					figure, changed := g.Update(now, s.Use)
-					told = figure
+					reported = figure
 					if changed {
-						times++
+						reports++
 					}
 				}
 			}
-			assert.Assert(t, times <= c.Most, "told %d times", times)
-			assert.Assert(t, told >= c.Above && told <= c.Below, "told %.3f last", told)
+			assert.Assert(t, reports <= c.Most, "%d reports", reports)
+			assert.Assert(t, reported >= c.Above && reported <= c.Below, "last report %.3f", reported)
 		})
 	}
 }
--- a/activator/select.go
+++ b/activator/select.go
@@ -10,30 +10,29 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// AllServe is the number of hosts up to which all serve: reports ten times a second
-// between 16 hosts are 2,400 messages a second.
+// AllServe is the number of live hosts up to which all are active, so that the rate of load
+// reports between them stays low.
 const AllServe = 16
 
 const (
-	// leastActive is the least number of active hosts of an availability zone: when one
-	// is lost, two remain until its successor is named to callers.
-	leastActive = 3
-	// mostUsed is the part of its processor time up to which an active host is to be
-	// used. It leaves room for callers that come at 1.7 times the usual rate, and for
-	// the loss of a third of the active hosts, one at a time.
-	mostUsed = 0.4
-	// startUse is the part of an availability zone's cores that is assumed to be used
-	// while nobody has measured it.
-	startUse = 1.0 / 16
-	// unknownCores is assumed of a host that has not told its cores.
-	unknownCores = 1
+	// minActivePerZone is the least number of active hosts of an availability zone: when one
+	// fails, two remain until callers are directed to its successor.
+	minActivePerZone = 3
+	// maxUtilization is the target fraction of an active host's cores in use. It leaves room for
+	// bursts of requests and for the failure of other active hosts.
+	maxUtilization = 0.4
+	// assumedUtilization is the fraction of an availability zone's cores that is assumed to be
+	// in use while there is no measurement.
+	assumedUtilization = 1.0 / 16
+	// defaultCores is assumed for a host whose number of cores is unknown.
+	defaultCores = 1
 )
 
-// Selection is which hosts serve callers.
+// Selection is the set of active hosts.
 type Selection struct {
-	All    bool                // All tells that every live host serves.
-	Zones  map[string][]string // Zones has the active hosts by availability zone, in the order in which they are called.
-	Active map[string]bool     // Active has the same hosts; nil if all serve.
+	All    bool                // All reports whether every live host is active.
+	Zones  map[string][]string // Zones holds the active hosts by availability zone, in order of Larger.
+	Active map[string]bool     // Active holds the same hosts as a set; nil if All is set.
 }
 
 // Hosts returns the active hosts of all availability zones, sorted.
@@ -46,13 +45,13 @@
 	return out
 }
 
-// Select returns which of the live hosts serve callers. In a small fleet all do. Else
-// as few of each availability zone as carry what is used there, those with the most
-// cores and the widest links first. Use has the cores that the hosts of an availability
-// zone use together; an availability zone without an entry has not been measured.
+// Select returns which of the live hosts are active. In a small fleet all are; else as few
+// of each availability zone as can carry its use, those with the most cores and the highest
+// bandwidth first. use is the number of cores in use by availability zone; there is no entry
+// for a zone that has not been measured.
 //
-// Callers connect to any active host of their zone alike, so that the smallest must
-// carry an even part.
+// Callers are spread evenly over the active hosts of their zone, so that the smallest one
+// must be able to carry an equal share.
 func Select(hosts []tracker.HostRecord, use map[string]float64) Selection {
 	zones := make(map[string][]tracker.HostRecord)
 	live := 0
@@ -70,7 +69,7 @@
 		slices.SortFunc(members, Larger)
 		n := len(members)
 		if !out.All {
-			n = enough(members, use[zone])
+			n = requiredHosts(members, use[zone])
 		}
 		for _, r := range members[:n] {
 			out.Zones[zone] = append(out.Zones[zone], r.Host)
@@ -82,8 +81,7 @@
 	return out
 }
 
-// Larger orders hosts by their cores, then by their links, those with more first, and
-// alike ones by rank.
+// Larger compares hosts by cores and bandwidth, in descending order, and equal ones by rank.
 func Larger(a, b tracker.HostRecord) int {
 	return cmp.Or(
 		cmp.Compare(cores(b), cores(a)),
@@ -92,16 +90,16 @@
 	)
 }
 
-// enough returns how many of the hosts of an availability zone carry what is used
-// there, each an even part.
-func enough(members []tracker.HostRecord, use float64) int {
+// requiredHosts returns how many hosts of an availability zone can carry its use in equal
+// shares. members are in order of Larger.
+func requiredHosts(members []tracker.HostRecord, use float64) int {
 	if use <= 0 {
 		for _, r := range members {
-			use += startUse * cores(r)
+			use += assumedUtilization * cores(r)
 		}
 	}
-	for n := min(leastActive, len(members)); n < len(members); n++ {
-		if use/float64(n) <= mostUsed*cores(members[n-1]) {
+	for n := min(minActivePerZone, len(members)); n < len(members); n++ {
+		if use/float64(n) <= maxUtilization*cores(members[n-1]) {
 			return n
 		}
 	}
@@ -110,7 +108,7 @@
 
 func cores(r tracker.HostRecord) float64 {
 	if r.Cores <= 0 {
-		return unknownCores
+		return defaultCores
 	}
 	return r.Cores
 }
--- a/activator/select_bench_test.go
+++ b/activator/select_bench_test.go
@@ -9,8 +9,8 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// BenchmarkSelect410 is one selection among the hosts of the size to design for. A host
-// makes one whenever it learns of a change of hosts, at most every 40 ms.
+// BenchmarkSelect410 measures a selection in a large fleet, which hosts repeat on each
+// change of the hosts.
 func BenchmarkSelect410(b *testing.B) {
 	var f fleet
 	for _, zone := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
--- a/activator/select_test.go
+++ b/activator/select_test.go
@@ -65,9 +65,8 @@
 	}
 }
 
-// TestSelectRandom: no active host is to carry more than its part, the largest serve
-// first, hosts that see the same fleet in another order choose alike, and the loss of an
-// active host calls in another without sending any away.
+// TestSelectRandom: no active host exceeds maxUtilization, the selection does not depend on
+// the order of the hosts, and the loss of an active host deactivates no other.
 func TestSelectRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f fleet
@@ -89,19 +88,19 @@
 		}
 		if len(names) < len(hosts) {
 			for _, name := range names {
-				if part := use["a"] / float64(len(names)); part > mostUsed*records[name].Cores {
-					t.Fatalf("%s carries %.3f of %.1f cores", name, part, records[name].Cores)
+				if share := use["a"] / float64(len(names)); share > maxUtilization*records[name].Cores {
+					t.Fatalf("%s carries %.3f of %.1f cores", name, share, records[name].Cores)
 				}
 			}
 		}
 		slices.Reverse(hosts)
 		assert.DeepEqual(t, Select(hosts, use).Zones["a"], names)
 		lost := names[0]
-		left := slices.DeleteFunc(hosts, func(r tracker.HostRecord) bool { return r.Host == lost })
-		after := Select(left, use)
+		remaining := slices.DeleteFunc(hosts, func(r tracker.HostRecord) bool { return r.Host == lost })
+		reselected := Select(remaining, use)
 		for _, name := range names[1:] {
-			if !after.All && !after.Active[name] {
-				t.Fatalf("%s was sent away when %s was lost", name, lost)
+			if !reselected.All && !reselected.Active[name] {
+				t.Fatalf("%s was deactivated when %s was lost", name, lost)
 			}
 		}
 	})
