--- a/messenger/mesh.go
+++ b/messenger/mesh.go
@@ -21,76 +21,75 @@
 	"amaranthgate.example/amaranthgate/logger"
 )
 
-// Headers of the handshake.
+// HTTP headers of the handshake.
 const (
 	headerFrom        = "Amaranthgate-From"
 	headerIncarnation = "Amaranthgate-Incarnation"
-	headerProof       = "Amaranthgate-Proof"
+	headerMAC         = "Amaranthgate-Proof"
 )
 
-// Bounds of a connection.
+// Limits of a connection.
 const (
-	outboxLength = 1024
+	queueLength  = 1024
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	firstPause   = 50 * time.Millisecond
-	longestPause = 2 * time.Second
+	minBackoff   = 50 * time.Millisecond
+	maxBackoff   = 2 * time.Second
 	idleTimeout  = time.Minute
-	// giveUpTime is how long a host that nobody sends to any more is dialled: as long as a cut
-	// may last after which hosts on both sides meet within one longestPause.
-	giveUpTime = 10 * time.Minute
-	// pingInterval and pingTimeout bound how long a connection may carry nothing to
-	// the other side without anybody noticing: when a middle box or a stopped
-	// process still acknowledges what is sent, the kernel sees no fault.
+	// defaultGiveUp is the default of Options.GiveUp. Hosts reconnect within maxBackoff after a
+	// network partition of up to this length.
+	defaultGiveUp = 10 * time.Minute
+	// pingInterval and pingTimeout bound the time to detect a half-open connection, on which a
+	// middlebox or a stopped process still acknowledges TCP segments.
 	pingInterval = time.Second
 	pingTimeout  = time.Second
 )
 
-// Options set up a messenger.
+// Options configures a Messenger.
 type Options struct {
 	Self    Hello
 	Secret  []byte
-	Receive func(from string, m *Message) // Receive is called for each message, in order for each sender.
-	Up      func(host, address string)    // Up is called when a connection to a host was opened.
+	Receive func(from string, m *Message) // Receive is called for each message, in order per connection.
+	Up      func(host, address string)    // Up is called after a connection to a host was opened.
 	Log     zerolog.Logger
-	GiveUp  time.Duration // GiveUp is how long a host that cannot be reached is dialled without a message for it; default 10 min.
+	GiveUp  time.Duration // GiveUp is how long an unreachable host without new messages is dialled; default 10 min.
 }
 
-// Messenger holds the connections of one host. It is safe for concurrent use.
+// Messenger manages one host's connections to the others. It is safe for concurrent use.
 type Messenger struct {
 	opts   Options
-	http   *http.Client // http makes the handshakes.
+	http   *http.Client // http is used for handshakes.
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu    sync.Mutex
-	links map[string]*link
-	last  encoded // last is the message that was sent last to one host.
+	mu          sync.Mutex
+	links       map[string]*link
+	lastEncoded encoded // lastEncoded is the last message passed to Send.
 
 	sentBytes     atomic.Uint64
 	receivedBytes atomic.Uint64
 	dropped       atomic.Uint64
 }
 
-// Traffic is what a messenger has carried.
+// Traffic holds the counters of a Messenger.
 type Traffic struct {
 	SentBytes     uint64
 	ReceivedBytes uint64
-	Dropped       uint64 // Dropped counts messages that could not be sent.
+	Dropped       uint64 // Dropped is the number of messages that could not be sent.
 	Links         int
 }
 
-// New returns a messenger without connections.
+// New returns a Messenger without connections.
 func New(opts Options) *Messenger {
 	if opts.GiveUp == 0 {
-		opts.GiveUp = giveUpTime
+		opts.GiveUp = defaultGiveUp
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.New(dialTimeout).DialContext}}
 	return &Messenger{opts: opts, http: client, ctx: ctx, cancel: cancel, links: make(map[string]*link)}
 }
 
-// Traffic returns what was carried so far.
+// Traffic returns the current counters.
 func (m *Messenger) Traffic() Traffic {
 	m.mu.Lock()
 	links := len(m.links)
@@ -98,51 +97,51 @@
 	return Traffic{SentBytes: m.sentBytes.Load(), ReceivedBytes: m.receivedBytes.Load(), Dropped: m.dropped.Load(), Links: links}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (m *Messenger) Close() { m.cancel() }
 
-func (m *Messenger) proof(from, to string) string {
+func (m *Messenger) handshakeMAC(from, to string) string {
 	h := hmac.New(sha256.New, m.opts.Secret)
 	h.Write([]byte("peer\n" + from + "\n" + to))
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Send queues a message for a host. It never blocks; when the queue is full the
-// message is dropped. A message that was the last one sent is not encoded again.
+// Send queues a message for a host. It never blocks; when the queue is full the message is dropped.
+// Passing the same message in consecutive calls encodes it once only; it must not be changed between.
 func (m *Messenger) Send(host, address string, msg *Message) {
 	m.mu.Lock()
-	last := m.last
+	enc := m.lastEncoded
 	m.mu.Unlock()
-	if last.message != msg {
-		last = encoded{message: msg, bytes: Encode(msg)}
+	if enc.message != msg {
+		enc = encoded{message: msg, bytes: Encode(msg)}
 		m.mu.Lock()
-		m.last = last
+		m.lastEncoded = enc
 		m.mu.Unlock()
 	}
-	m.queue(host, address, last.bytes)
+	m.enqueue(host, address, enc.bytes)
 }
 
-// encoded is a message with its wire form.
+// encoded is a message with its encoding.
 type encoded struct {
 	message *Message
 	bytes   []byte
 }
 
-// Target is a host that a message goes to.
+// Target is a recipient of a message.
 type Target struct {
 	Host    string
 	Address string
 }
 
-// SendAll queues a message for several hosts, and encodes it once.
+// SendAll queues a message for several hosts and encodes it once.
 func (m *Messenger) SendAll(targets []Target, msg *Message) {
 	b := Encode(msg)
 	for _, t := range targets {
-		m.queue(t.Host, t.Address, b)
+		m.enqueue(t.Host, t.Address, b)
 	}
 }
 
-func (m *Messenger) queue(host, address string, b []byte) {
+func (m *Messenger) enqueue(host, address string, b []byte) {
 	m.mu.Lock()
 	l := m.links[host]
 	if l == nil || l.address != address {
@@ -153,52 +152,52 @@
 	}
 	m.mu.Unlock()
 	select {
-	case l.outbox <- b:
+	case l.queue <- b:
 	default:
 		m.dropped.Add(1)
 	}
 }
 
-// link is the sending side towards one host.
+// link is the outgoing connection to one host, with its queue.
 type link struct {
 	messenger *Messenger
 	host      string
 	address   string
-	outbox    chan []byte
+	queue     chan []byte
 	ctx       context.Context
 	cancel    context.CancelFunc
 }
 
-// newLink starts a link; m.mu is held.
+// newLink registers and starts a link. m.mu must be held.
 func (m *Messenger) newLink(host, address string) *link {
 	ctx, cancel := context.WithCancel(m.ctx)
-	l := &link{messenger: m, host: host, address: address, outbox: make(chan []byte, outboxLength), ctx: ctx, cancel: cancel}
+	l := &link{messenger: m, host: host, address: address, queue: make(chan []byte, queueLength), ctx: ctx, cancel: cancel}
 	m.links[host] = l
 	go l.run()
 	return l
 }
 
-// run keeps a connection open as long as there is something to send. A host that cannot be
-// reached is dialled on for a while, so that both know each other soon after a cut; not for
-// good, since machines are replaced by others of new names.
+// run keeps a connection open while there are messages to send. It retries an unreachable host until
+// GiveUp, so that hosts reconnect soon after a network partition, but not forever, since hosts may be
+// replaced by others with new names.
 func (l *link) run() {
-	defer l.remove()
-	pause, wanted := firstPause, time.Now()
+	defer l.unregister()
+	backoff, lastNeeded := minBackoff, time.Now()
 	for l.ctx.Err() == nil {
 		conn, err := l.dial()
 		if err != nil {
-			if l.drain() > 0 {
-				wanted = time.Now()
+			if l.discardQueued() > 0 {
+				lastNeeded = time.Now()
 			}
-			if time.Since(wanted) > l.messenger.opts.GiveUp || !sleep(l.ctx, pause) {
+			if time.Since(lastNeeded) > l.messenger.opts.GiveUp || !sleep(l.ctx, backoff) {
 				return
 			}
-			pause = min(2*pause, longestPause)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		pause, wanted = firstPause, time.Now()
+		backoff, lastNeeded = minBackoff, time.Now()
 		l.messenger.opts.Up(l.host, l.address)
-		idle := l.write(conn)
+		idle := l.writeLoop(conn)
 		_ = conn.CloseNow()
 		if idle {
 			return
@@ -206,7 +205,7 @@
 	}
 }
 
-func (l *link) remove() {
+func (l *link) unregister() {
 	l.messenger.mu.Lock()
 	defer l.messenger.mu.Unlock()
 	if l.messenger.links[l.host] == l {
@@ -214,12 +213,12 @@
 	}
 }
 
-// drain drops what waits: it would be stale by the time a connection stands. It returns how
-// many messages that were.
-func (l *link) drain() (dropped int) {
+// discardQueued drops the queued messages, which would be stale by the time of a connection, and
+// returns their number.
+func (l *link) discardQueued() (dropped int) {
 	for {
 		select {
-		case <-l.outbox:
+		case <-l.queue:
 			l.messenger.dropped.Add(1)
 			dropped++
 		default:
@@ -235,21 +234,21 @@
 	header := http.Header{}
 	header.Set(headerFrom, self.Host)
 	header.Set(headerIncarnation, strconv.FormatUint(self.Incarnation, 10))
-	header.Set(headerProof, l.messenger.proof(self.Host, l.host))
+	header.Set(headerMAC, l.messenger.handshakeMAC(self.Host, l.host))
 	conn, _, err := websocket.Dial(ctx, "ws://"+l.address+"/peer", &websocket.DialOptions{HTTPClient: l.messenger.http, HTTPHeader: header})
 	return conn, err
 }
 
-// write sends until the connection breaks or nothing was sent for long; it
-// reports whether the link was idle.
-func (l *link) write(conn *websocket.Conn) (idle bool) {
-	closed := conn.CloseRead(l.ctx) // answers pings and sees the close
-	go l.watch(closed, conn)
+// writeLoop sends queued messages until the connection breaks or was idle for idleTimeout, and reports
+// whether it was idle.
+func (l *link) writeLoop(conn *websocket.Conn) (idle bool) {
+	closed := conn.CloseRead(l.ctx) // handles control frames
+	go l.pingLoop(closed, conn)
 	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
 	for {
 		select {
-		case b := <-l.outbox:
+		case b := <-l.queue:
 			if !l.send(conn, b) {
 				return false
 			}
@@ -262,8 +261,8 @@
 	}
 }
 
-// watch closes a connection on which the other side no longer answers.
-func (l *link) watch(closed context.Context, conn *websocket.Conn) {
+// pingLoop closes a connection on which pings are not answered.
+func (l *link) pingLoop(closed context.Context, conn *websocket.Conn) {
 	for sleep(closed, pingInterval) {
 		ctx, cancel := context.WithTimeout(closed, pingTimeout)
 		err := conn.Ping(ctx)
@@ -286,7 +285,7 @@
 	return true
 }
 
-// Handler accepts connections of other hosts.
+// Handler returns the handler that accepts connections from other hosts.
 func (m *Messenger) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /peer", m.accept)
@@ -295,8 +294,8 @@
 
 func (m *Messenger) accept(w http.ResponseWriter, r *http.Request) {
 	from := r.Header.Get(headerFrom)
-	proof := r.Header.Get(headerProof)
-	if from == "" || !hmac.Equal([]byte(proof), []byte(m.proof(from, m.opts.Self.Host))) {
+	mac := r.Header.Get(headerMAC)
+	if from == "" || !hmac.Equal([]byte(mac), []byte(m.handshakeMAC(from, m.opts.Self.Host))) {
 		http.Error(w, "not a peer of this deployment", http.StatusForbidden)
 		return
 	}
@@ -306,10 +305,10 @@
 	}
 	defer func() { _ = conn.CloseNow() }()
 	conn.SetReadLimit(maxMessageBytes)
-	m.read(from, conn)
+	m.readLoop(from, conn)
 }
 
-func (m *Messenger) read(from string, conn *websocket.Conn) {
+func (m *Messenger) readLoop(from string, conn *websocket.Conn) {
 	for {
 		_, b, err := conn.Read(m.ctx)
 		if err != nil {
--- a/messenger/message_test.go
+++ b/messenger/message_test.go
@@ -18,7 +18,7 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// FuzzDecode feeds anything that a peer could send.
+// FuzzDecode: arbitrary bytes must not panic, and a decoded message must survive another round trip.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(&Message{Digest: 1, Hosts: []tracker.HostRecord{{Host: "a"}}, Claims: []claimer.Message{{Range: 1, Request: &claimer.Request{Nonce: "n"}}}}))
 	f.Add(Encode(&Message{EndedDigest: 7, Ended: []quarantiner.Word{{Identity: quarantiner.Identity{1, 2}, Ends: []string{"a@b"}, Cleared: []string{"c"}, Age: time.Second}}}))
@@ -35,9 +35,8 @@
 	})
 }
 
-// connect starts two messengers, the first with one secret and the second with
-// another.
-func connect(t *testing.T, secrets [2]string) (from *Messenger, address string, got chan *Message) {
+// newPair starts a sending and a receiving messenger with the given secrets.
+func newPair(t *testing.T, secrets [2]string) (from *Messenger, address string, got chan *Message) {
 	got = make(chan *Message, 1)
 	to := New(Options{Self: Hello{Host: "b"}, Secret: []byte(secrets[1]), Receive: func(_ string, m *Message) { got <- m }, Log: zerolog.Nop()})
 	srv := httptest.NewServer(to.Handler())
@@ -51,21 +50,21 @@
 }
 
 func TestSend(t *testing.T) {
-	from, address, got := connect(t, [2]string{"secret", "secret"})
+	from, address, got := newPair(t, [2]string{"secret", "secret"})
 	for {
 		from.Send("b", address, &Message{Digest: 7})
 		select {
 		case m := <-got:
 			assert.Equal(t, m.Digest, uint64(7))
 			return
-		case <-time.After(10 * time.Millisecond): // the first ones may come before the connection
+		case <-time.After(10 * time.Millisecond): // messages sent before the connection is open are dropped
 		}
 	}
 }
 
-// TestWrongSecret keeps strangers out.
+// TestWrongSecret: messages of a host with a wrong secret must not be received.
 func TestWrongSecret(t *testing.T) {
-	from, address, got := connect(t, [2]string{"guess", "secret"})
+	from, address, got := newPair(t, [2]string{"guess", "secret"})
 	for from.Traffic().Dropped < 3 {
 		from.Send("b", address, &Message{Digest: 7})
 		time.Sleep(time.Millisecond)
@@ -73,10 +72,9 @@
 	assert.Equal(t, len(got), 0)
 }
 
-// TestSilentConnectionIsReplaced: a connection on which nothing arrives any more,
-// though it shows no end, is given up, and messages go over a new one.
+// TestSilentConnectionIsReplaced: a half-open connection must be detected and replaced.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	from, address, got := connect(t, [2]string{"secret", "secret"})
+	from, address, got := newPair(t, [2]string{"secret", "secret"})
 	proxy, err := faultproxy.New(address)
 	assert.NilError(t, err)
 	t.Cleanup(proxy.Close)
@@ -97,8 +95,8 @@
 	arrives(2)
 }
 
-// TestGoneHostIsGivenUp: a host that cannot be reached and to which nothing is sent is not
-// dialled for good, and is dialled again for the next message.
+// TestGoneHostIsGivenUp: an unreachable host must not be dialled forever without a message for it, but
+// again for the next message.
 func TestGoneHostIsGivenUp(t *testing.T) {
 	m := New(Options{Self: Hello{Host: "a"}, Secret: []byte("secret"), Log: zerolog.Nop(), GiveUp: 100 * time.Millisecond})
 	t.Cleanup(m.Close)
--- a/messenger/pack.go
+++ b/messenger/pack.go
@@ -11,33 +11,32 @@
 )
 
 const (
-	// packFrom is the length from which messages are compressed. A listing of 3,000
-	// upstreams has 900 kB and 40 kB after it; reports of work, of which there are many,
-	// are shorter than this and are sent as they are.
-	packFrom = 8 << 10
-	// packWindow bounds the memory of the compressor: the entries of a listing repeat
-	// within a few hundred bytes.
-	packWindow = 128 << 10
-	// packedType is the major type of a packed message, a CBOR byte string, in its first
-	// byte. Messages that are not packed are maps.
-	packedType = 2
-	majorShift = 5
+	// minCompressedBytes is the length from which messages are compressed. Listings of upstreams
+	// are longer and compress well; frequent short messages such as load reports are not worth it.
+	minCompressedBytes = 8 << 10
+	// compressionWindow, in bytes, bounds the encoder's memory. Similar entries of a listing lie
+	// much closer together.
+	compressionWindow = 128 << 10
+	// compressedMajorType is the CBOR major type of a compressed message, a byte string. Other
+	// messages are maps. The major type is in the first byte, from majorTypeShift on.
+	compressedMajorType = 2
+	majorTypeShift      = 5
 )
 
 var (
-	packer   = mustPacker()
-	unpacker = mustUnpacker()
+	encoder = newEncoder()
+	decoder = newDecoder()
 )
 
-func mustPacker() *zstd.Encoder {
-	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(packWindow))
+func newEncoder() *zstd.Encoder {
+	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(compressionWindow))
 	if err != nil {
 		panic("messenger: " + err.Error())
 	}
 	return e
 }
 
-func mustUnpacker() *zstd.Decoder {
+func newDecoder() *zstd.Decoder {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxMessageBytes))
 	if err != nil {
 		panic("messenger: " + err.Error())
@@ -45,23 +44,23 @@
 	return d
 }
 
-// pack compresses a long message.
-func pack(b []byte) ([]byte, error) {
-	if len(b) < packFrom {
+// compress compresses b and wraps it in a CBOR byte string if it is long enough.
+func compress(b []byte) ([]byte, error) {
+	if len(b) < minCompressedBytes {
 		return b, nil
 	}
-	return codec.Marshal(packer.EncodeAll(b, nil))
+	return codec.Marshal(encoder.EncodeAll(b, nil))
 }
 
-// unpack undoes pack.
-func unpack(b []byte) ([]byte, error) {
-	if len(b) == 0 || b[0]>>majorShift != packedType {
+// decompress reverses compress.
+func decompress(b []byte) ([]byte, error) {
+	if len(b) == 0 || b[0]>>majorTypeShift != compressedMajorType {
 		return b, nil
 	}
-	var packed []byte
-	if err := codec.Unmarshal(b, &packed); err != nil {
-		return nil, errors.Wrap(err, "messenger: not a packed message")
+	var compressed []byte
+	if err := codec.Unmarshal(b, &compressed); err != nil {
+		return nil, errors.Wrap(err, "messenger: compressed message cannot be decoded")
 	}
-	out, err := unpacker.DecodeAll(packed, nil)
-	return out, errors.Wrap(err, "messenger: not a packed message")
+	out, err := decoder.DecodeAll(compressed, nil)
+	return out, errors.Wrap(err, "messenger: message cannot be decompressed")
 }
--- a/messenger/pack_test.go
+++ b/messenger/pack_test.go
@@ -12,8 +12,8 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// listing is what a host tells another of n upstreams.
-func listing(n int) *Message {
+// newListing returns a message with the feed entries of n upstreams.
+func newListing(n int) *Message {
 	news := follower.News{Feed: follower.FeedUpstreams, Full: true, Next: int64(n)}
 	for i := range n {
 		news.Records = append(news.Records, follower.Record{
@@ -26,10 +26,10 @@
 	return &Message{News: []follower.News{news}}
 }
 
-// TestLongMessagesArePacked: a long message takes a tenth of its length, and is the same
-// when it arrives; a short one is sent as it is.
-func TestLongMessagesArePacked(t *testing.T) {
-	m := listing(3000)
+// TestLongMessagesAreCompressed: long messages are compressed and restored, short ones are not
+// compressed.
+func TestLongMessagesAreCompressed(t *testing.T) {
+	m := newListing(3000)
 	b := Encode(m)
 	plain := 0
 	for _, r := range m.News[0].Records {
@@ -41,15 +41,15 @@
 	assert.DeepEqual(t, got.News, m.News)
 
 	b = Encode(&Message{Digest: 7})
-	assert.Assert(t, b[0]>>majorShift != packedType)
+	assert.Assert(t, b[0]>>majorTypeShift != compressedMajorType)
 	_, err = Decode([]byte{0x43, 1, 2, 3})
 	assert.Assert(t, err != nil)
 }
 
-// BenchmarkEncodeListing3000 is what a host of a large fleet does for those that start:
-// once in handoverLife, whatever their number.
+// BenchmarkEncodeListing3000 measures the encoding of a listing of a large fleet's upstreams, as sent
+// to hosts that start.
 func BenchmarkEncodeListing3000(b *testing.B) {
-	m := listing(3000)
+	m := newListing(3000)
 	b.ReportAllocs()
 	for b.Loop() {
 		Encode(m)
