--- a/tracker/upstream.go
+++ b/tracker/upstream.go
@@ -64,9 +64,9 @@
 
 // UpstreamOptions configures the tracking of upstreams.
 type UpstreamOptions struct {
-	Watchers  int           // Watchers is the number of hosts that poll an upstream; default 2.
-	Failures  int           // Failures is the number of failed polls in a row that make it silent; default 3.
-	BackAfter time.Duration // BackAfter is how long a leaving upstream must report live; default 5 s.
+	Watchers     int           // Watchers is the number of hosts that poll an upstream; default 2.
+	Failures     int           // Failures is the number of failed polls in a row that make it silent; default 3.
+	RecoverAfter time.Duration // RecoverAfter is how long a leaving upstream must report live; default 5 s.
 }
 
 // Upstreams is one host's view of all upstreams. It is not safe for concurrent use.
@@ -93,8 +93,8 @@
 	if opts.Failures == 0 {
 		opts.Failures = 3
 	}
-	if opts.BackAfter == 0 {
-		opts.BackAfter = 5 * time.Second
+	if opts.RecoverAfter == 0 {
+		opts.RecoverAfter = 5 * time.Second
 	}
 	return &Upstreams{opts: opts, records: make(map[string]*upstreamEntry)}
 }
@@ -195,7 +195,7 @@
 		if e.liveSince.IsZero() {
 			e.liveSince = now
 		}
-		if e.listedLeaving || now.Sub(e.liveSince) < u.opts.BackAfter {
+		if e.listedLeaving || now.Sub(e.liveSince) < u.opts.RecoverAfter {
 			return e.record, false
 		}
 	}
