--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package codec is CBOR (RFC 8949) as the system writes it: deterministic, with
-// times kept whole, and with bounds on what is read, so that hostile input
-// cannot make a reader take memory without limit.
+// Package codec encodes and decodes CBOR (RFC 8949). The encoding is
+// deterministic and keeps nanoseconds of times; decoding limits the size and
+// nesting of its input, so that hostile input cannot exhaust memory.
 //
 // # Usage
 //
@@ -13,7 +13,7 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Bounds on input.
+// Limits on decoded input.
 const (
 	maxElements = 1 << 20
 	maxNesting  = 16
@@ -24,8 +24,8 @@
 	decoder = mustDecMode()
 )
 
-// mustEncMode keeps times whole: a state that was restored from a checkpoint
-// must equal one that was folded.
+// mustEncMode returns an encoding that keeps nanoseconds, so that a state
+// restored from a checkpoint equals the state that was encoded.
 func mustEncMode() cbor.EncMode {
 	m, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano, Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
@@ -50,5 +50,5 @@
 // Marshal returns the encoding of v.
 func Marshal(v any) ([]byte, error) { return encoder.Marshal(v) }
 
-// Unmarshal reads b into v. Unknown fields are ignored.
+// Unmarshal decodes b into v. Unknown fields are ignored.
 func Unmarshal(b []byte, v any) error { return decoder.Unmarshal(b, v) }
--- a/internal/commander/check.go
+++ b/internal/commander/check.go
@@ -25,40 +25,40 @@
 			&cli.StringSliceFlag{Name: "configuration", Usage: "`FILE` with a configuration document"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			var last error
+			var lastErr error
 			files := 0
 			for _, path := range c.StringSlice("settings") {
 				files++
 				if _, err := e.readSettings(path); err != nil {
-					last = err
+					lastErr = err
 				}
 			}
 			for _, path := range c.StringSlice("configuration") {
 				files++
 				if _, err := e.readDocument(path); err != nil {
-					last = err
+					lastErr = err
 				}
 			}
 			if files == 0 {
-				return withCode(ExitUsage, errors.New("nothing to check: give --settings or --configuration"))
+				return withExitCode(ExitUsage, errors.New("nothing to check: give --settings or --configuration"))
 			}
-			if last == nil {
+			if lastErr == nil {
 				fmt.Fprintf(e.out, "%d files are valid\n", files)
 			}
-			return last
+			return lastErr
 		},
 	}
 }
 
-// readDocument reads a configuration document and prints every fault.
+// readDocument reads a configuration document and prints all faults.
 func (e *env) readDocument(path string) (*configurer.Document, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, withCode(ExitUsage, err)
+		return nil, withExitCode(ExitUsage, err)
 	}
 	doc, faults := configurer.Parse(text)
 	if len(faults) > 0 {
-		return nil, withCode(ExitUsage, e.printFaults(path, faults))
+		return nil, withExitCode(ExitUsage, e.printFaults(path, faults))
 	}
 	return doc, nil
 }
--- a/internal/commander/commander.go
+++ b/internal/commander/commander.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package commander is the command line.
+// Package commander implements the command-line interface.
 //
 // # Usage
 //
@@ -24,25 +24,25 @@
 const (
 	ExitOK     = 0
 	ExitFailed = 1
-	ExitUsage  = 2 // ExitUsage says that the command line, settings or a document are wrong.
-	ExitCut    = 3 // ExitCut says that a shutdown cut requests.
+	ExitUsage  = 2 // ExitUsage means an invalid command line, settings file or document.
+	ExitCut    = 3 // ExitCut means that a shutdown aborted requests.
 )
 
-// codeError is an error with an exit code.
-type codeError struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	error
 	code int
 }
 
-func withCode(code int, err error) error { return codeError{error: err, code: code} }
+func withExitCode(code int, err error) error { return exitError{error: err, code: code} }
 
-// env is what commands write to.
+// env holds the output streams of commands.
 type env struct {
 	out io.Writer
 	err io.Writer
 }
 
-// Run carries out a command line and returns the exit code.
+// Run executes a command line and returns the exit code.
 func Run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	e := &env{out: out, err: errOut}
 	cmd := &cli.Command{
@@ -69,7 +69,7 @@
 		},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
-			return withCode(ExitUsage, err)
+			return withExitCode(ExitUsage, err)
 		},
 	}
 	err := cmd.Run(ctx, args)
@@ -77,7 +77,7 @@
 		return ExitOK
 	}
 	fmt.Fprintln(errOut, "amaranthgate:", err)
-	var coded codeError
+	var coded exitError
 	if errors.As(err, &coded) {
 		return coded.code
 	}
--- a/internal/commander/demo_test.go
+++ b/internal/commander/demo_test.go
@@ -21,8 +21,8 @@
 	"amaranthgate.example/amaranthgate/internal/deployment"
 )
 
-// TestDemoShows: the tour of the demonstration shows each of its steps, and its lines name
-// where the system can be reached.
+// TestDemoShows checks that the demonstration completes all its steps and prints the
+// system's addresses.
 func TestDemoShows(t *testing.T) {
 	d, err := startDemo(t.Context(), io.Discard)
 	assert.NilError(t, err)
@@ -35,32 +35,33 @@
 	}
 }
 
-// onlyDemo are the packages that the demonstration has beyond a deployed host: the stand-ins
-// and what chooses their ports.
-var onlyDemo = map[string]bool{
+// demoOnly are packages that the demonstration needs in addition to a deployed host, for
+// the emulated platform and upstreams.
+var demoOnly = map[string]bool{
 	"platform/demonstrator": true, "platform/standin": true, "internal/freeport": true,
 }
 
-// TestDemoIsDeployed: the demonstration runs the packages of a deployed host and no others.
+// TestDemoIsDeployed checks that the demonstration imports only packages of a deployed host
+// and those in demoOnly.
 func TestDemoIsDeployed(t *testing.T) {
 	demo, deployed := make(map[string]bool), make(map[string]bool)
 	addImports(t, demo, "demo.go")
 	addImports(t, deployed, "platform.go")
 	for name := range demo {
-		assert.Assert(t, deployed[name] || onlyDemo[name], "only the demonstration imports %s", name)
+		assert.Assert(t, deployed[name] || demoOnly[name], "only the demonstration imports %s", name)
 	}
 	assert.Assert(t, demo["platform/demonstrator"] && demo["loader"])
 	assert.Assert(t, deployed["conductor"] && deployed["exchanger"] && deployed["placer"])
 }
 
-// addImports adds the packages of this module that a file imports, and what they import.
+// addImports adds the packages of this module that a file imports, directly or indirectly.
 func addImports(t *testing.T, found map[string]bool, file string) {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
 	assert.NilError(t, err)
 	for _, spec := range f.Imports {
-		name, ours := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), "amaranthgate.example/amaranthgate/")
-		if !ours || found[name] {
+		name, internal := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), "amaranthgate.example/amaranthgate/")
+		if !internal || found[name] {
 			continue
 		}
 		found[name] = true
@@ -74,9 +75,9 @@
 	}
 }
 
-// TestSmallSystemServes runs the whole path of hosts beside a log of their own: a caller
-// asks for addresses, gets a stream, a refusal and a kept answer.
-func TestSmallSystemServes(t *testing.T) {
+// TestDeploymentServes checks a stream, a rejected request and a request whose saved
+// answer is returned again, all sent to hosts with the emulated log.
+func TestDeploymentServes(t *testing.T) {
 	ctx := t.Context()
 	d, err := deployment.Start(ctx, deployment.Options{
 		Hosts:      3,
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -70,7 +70,7 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			spec, err := experimenter.Deployment(c.String("deployment"))
 			if err != nil {
-				return withCode(ExitUsage, err)
+				return withExitCode(ExitUsage, err)
 			}
 			spec.For = time.Duration(float64(spec.For) * c.Float("scale"))
 			spec.Warm = time.Duration(float64(spec.Warm) * c.Float("scale"))
@@ -204,13 +204,13 @@
 		Action: func(_ context.Context, c *cli.Command) error {
 			var points []experimenter.FleetPoint
 			for _, hosts := range c.IntSlice("hosts") {
-				shown := time.Time{}
+				lastPrint := time.Time{}
 				results := experimenter.Fleet(experimenter.FleetOptions{
 					Hosts: hosts, Upstreams: hosts * c.Int("upstreams"), Zones: c.Int("zones"), Large: c.Int("large"),
 					LinkMbps: c.Float("link"), Series: c.Int("series"), Seed: c.Uint64("seed"),
 					Progress: func(scene experimenter.FleetScene, virtual time.Duration) {
-						if time.Since(shown) > time.Second {
-							shown = time.Now()
+						if time.Since(lastPrint) > time.Second {
+							lastPrint = time.Now()
 							fmt.Fprintf(e.err, "\r%d hosts, %s: %.1f s   ", hosts, scene, virtual.Seconds())
 						}
 					},
--- a/internal/commander/explain.go
+++ b/internal/commander/explain.go
@@ -35,11 +35,11 @@
 				fmt.Fprint(e.out, explainer.Summarize(lines))
 				return nil
 			}
-			story, ok := explainer.Explain(lines, c.String("request"))
+			explanation, ok := explainer.Explain(lines, c.String("request"))
 			if !ok {
-				return errors.New("no line of these logs names the request")
+				return errors.New("the request does not occur in these logs")
 			}
-			fmt.Fprint(e.out, story)
+			fmt.Fprint(e.out, explanation)
 			return nil
 		},
 	}
@@ -58,7 +58,7 @@
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Duration("span") <= 0 {
-				return withCode(ExitUsage, errors.New("--span must be more than 0"))
+				return withExitCode(ExitUsage, errors.New("--span must be more than 0"))
 			}
 			lines, err := readLogs(c.Args().Slice())
 			if err != nil {
@@ -85,8 +85,8 @@
 func readLog(path string) ([]explainer.Line, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, withCode(ExitUsage, err)
+		return nil, withExitCode(ExitUsage, err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	return explainer.Read(f, path)
 }
--- a/internal/commander/operate.go
+++ b/internal/commander/operate.go
@@ -20,7 +20,7 @@
 	"amaranthgate.example/amaranthgate/administrator"
 )
 
-// operatorFlags are the flags of the commands that ask a host as an operator.
+// operatorFlags returns the flags of commands that call a host's operator API.
 func operatorFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "operators", Required: true, Usage: "`ADDRESS` of a host for operators, IP:port"},
@@ -29,8 +29,8 @@
 	}
 }
 
-// askOperators sends a request to a host's address for operators.
-func askOperators(ctx context.Context, c *cli.Command, method, path string, body []byte) (int, []byte, error) {
+// callOperatorAPI sends a request to a host's operator address and returns status and body.
+func callOperatorAPI(ctx context.Context, c *cli.Command, method, path string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.String("operators")+path, bytes.NewReader(body))
@@ -53,7 +53,7 @@
 		Usage: "print the state of a running host",
 		Flags: operatorFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			status, body, err := askOperators(ctx, c, http.MethodGet, "/debug/state", nil)
+			status, body, err := callOperatorAPI(ctx, c, http.MethodGet, "/debug/state", nil)
 			if err != nil {
 				return err
 			}
@@ -76,7 +76,7 @@
 		Flags: operatorFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			path := "/quarantine/lift?" + url.Values{"identity": {c.Args().First()}}.Encode()
-			status, body, err := askOperators(ctx, c, http.MethodPost, path, nil)
+			status, body, err := callOperatorAPI(ctx, c, http.MethodPost, path, nil)
 			if err != nil {
 				return err
 			}
@@ -111,12 +111,12 @@
 	base := c.Int64("base")
 	if base < 0 {
 		var cur administrator.ConfigurationAnswer
-		_, body, err := askOperators(ctx, c, http.MethodGet, "/v1/configuration", nil)
+		_, body, err := callOperatorAPI(ctx, c, http.MethodGet, "/v1/configuration", nil)
 		if err != nil {
 			return err
 		}
 		if err := json.Unmarshal(body, &cur); err != nil {
-			return errors.Errorf("unexpected answer: %s", bytes.TrimSpace(body))
+			return errors.Errorf("unexpected response: %s", bytes.TrimSpace(body))
 		}
 		base = int64(cur.Revision)
 	}
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	status, body, err := askOperators(ctx, c, http.MethodPost, "/v1/configuration", req)
+	status, body, err := callOperatorAPI(ctx, c, http.MethodPost, "/v1/configuration", req)
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// stdin is where send reads a prompt from.
+// stdin is the input from which send reads a prompt.
 var stdin io.Reader = os.Stdin
 
 func fprintln(w io.Writer, args ...any) { _, _ = fmt.Fprintln(w, args...) }
--- a/internal/commander/platform.go
+++ b/internal/commander/platform.go
@@ -19,36 +19,35 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// upstreamDial bounds a connect to an upstream. Upstreams are a millisecond
-// away; one that has no power does not answer at all, and the request is better
-// offered elsewhere within the objectives of 100 ms and more.
-const upstreamDial = 150 * time.Millisecond
+// upstreamDialTimeout is far above the round-trip time within a region, and short
+// enough to try another upstream within a request's objective.
+const upstreamDialTimeout = 150 * time.Millisecond
 
-// logQueue is the number of log lines that wait for a slow reader. Beyond it
-// lines are dropped and counted: no request ever waits for the log.
-const logQueue = 4096
+// logQueueLines is the size of the log's buffer. When it is full, lines are dropped
+// and counted, so that no request waits for the log.
+const logQueueLines = 4096
 
-// platformHost is a host of the users' platform with its log.
+// platformHost is a host on the users' platform, with its log writer.
 type platformHost struct {
 	*conductor.Host
 	log io.Closer
 }
 
-// Drain ends the host and writes what is left of the log.
+// Drain drains the host, flushes the log and returns the number of aborted requests.
 func (h *platformHost) Drain(ctx context.Context) int {
-	defer func() { _ = h.log.Close() }() // it writes to standard output, which nobody can mend now
+	defer func() { _ = h.log.Close() }() // an error on standard output cannot be reported
 	return h.Host.Drain(ctx)
 }
 
-// newPlatformHost puts a host of the users' platform together.
+// newPlatformHost returns a host on the users' platform that logs to out.
 func newPlatformHost(s loader.Settings, out io.Writer) *platformHost {
 	var dropped atomic.Uint64
-	writer := diode.NewWriter(out, logQueue, 0, func(missed int) { dropped.Add(uint64(missed)) })
+	writer := diode.NewWriter(out, logQueueLines, 0, func(missed int) { dropped.Add(uint64(missed)) })
 	return &platformHost{Host: conductor.New(platformOptions(s, logger.New(writer, s.LogLevel), dropped.Load)), log: writer}
 }
 
 func platformOptions(s loader.Settings, log *logger.Logger, dropped func() uint64) conductor.Options {
-	pool := forwarder.NewPool(forwarder.PoolOptions{DialTimeout: upstreamDial})
+	pool := forwarder.NewPool(forwarder.PoolOptions{DialTimeout: upstreamDialTimeout})
 	engines := platform.NewEngines(pool)
 	return conductor.Options{
 		Settings: s,
--- a/internal/commander/send.go
+++ b/internal/commander/send.go
@@ -48,9 +48,9 @@
 
 func (e *env) send(ctx context.Context, c *cli.Command) error {
 	if (c.String("model") == "") == (c.String("service") == "") {
-		return withCode(ExitUsage, errors.New("give either --model or --service"))
+		return withExitCode(ExitUsage, errors.New("give either --model or --service"))
 	}
-	req, err := sendRequest(c)
+	req, err := newRequest(c)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 	return err
 }
 
-func sendRequest(c *cli.Command) (caller.Request, error) {
+func newRequest(c *cli.Command) (caller.Request, error) {
 	r := caller.Request{Key: c.String("key"), Header: http.Header{}}
 	if v := c.String("class"); v != "" {
 		r.Header.Set(server.HeaderClass, v)
@@ -110,21 +110,21 @@
 		text += ": " + p.Detail
 	}
 	if after := resp.Header.Get("Retry-After"); after != "" {
-		text += "; come back after " + after + " s"
+		text += "; retry after " + after + " s"
 	}
 	return errors.New(text)
 }
 
-// printStream prints the text of a stream as it comes and a line about it.
+// printStream prints the text of a stream as it arrives, then token count and times.
 func (e *env) printStream(resp *http.Response, start time.Time) error {
 	var first time.Duration
 	tokens := 0
 	for ev, err := range sse.Read(resp.Body, nil) {
 		if err != nil {
-			return errors.Wrap(err, "the stream broke off")
+			return errors.Wrap(err, "the stream was interrupted")
 		}
 		if ev.Type == "error" {
-			return errors.Errorf("the stream broke off: %s", ev.Data)
+			return errors.Errorf("the stream was interrupted: %s", ev.Data)
 		}
 		if ev.Data == "[DONE]" {
 			fmt.Fprintf(e.out, "\n")
@@ -146,5 +146,5 @@
 			}
 		}
 	}
-	return errors.New("the stream ended without its end marker")
+	return errors.New("the stream ended without its [DONE] event")
 }
--- a/internal/commander/serve.go
+++ b/internal/commander/serve.go
@@ -44,30 +44,29 @@
 	}
 }
 
-// host is one running host, on the users' platform or beside a log of ours.
+// host is a host on the users' platform or with the built-in log.
 type host interface {
 	Start() error
-	// Reload takes over the settings that may change while a host runs.
+	// Reload applies the settings that may change while the host is running.
 	Reload(s loader.Settings)
-	// Drain ends gracefully and returns how many requests were cut.
+	// Drain shuts down gracefully and returns the number of aborted requests.
 	Drain(ctx context.Context) int
 }
 
-// readSettings reads settings and prints every fault.
+// readSettings reads a settings file and prints all faults.
 func (e *env) readSettings(path string) (loader.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return loader.Settings{}, withCode(ExitUsage, err)
+		return loader.Settings{}, withExitCode(ExitUsage, err)
 	}
 	s, faults := loader.Parse(text)
 	if len(faults) > 0 {
-		return s, withCode(ExitUsage, e.printFaults(path, faults))
+		return s, withExitCode(ExitUsage, e.printFaults(path, faults))
 	}
 	return s, nil
 }
 
-// reload reads the settings again. Settings with faults are reported and change
-// nothing.
+// reload reads the settings again and applies them unless they have faults.
 func (e *env) reload(path string, h host) {
 	s, err := e.readSettings(path)
 	if err != nil {
@@ -76,7 +75,8 @@
 	h.Reload(s)
 }
 
-// runUntilSignal runs a started host until a signal or the end of ctx.
+// runUntilSignal waits for SIGTERM, SIGINT or the end of ctx, then drains the host.
+// A second signal ends the drain.
 func runUntilSignal(ctx context.Context, h host, s loader.Settings, reload func()) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -104,7 +104,7 @@
 		}
 	}()
 	if cut := h.Drain(drainCtx); cut > 0 {
-		return withCode(ExitCut, errors.Errorf("%d requests were cut", cut))
+		return withExitCode(ExitCut, errors.Errorf("%d requests were cut", cut))
 	}
 	return nil
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package deployment runs a whole small system in one process, on loopback:
-// stand-ins for platform and upstreams, and hosts. The demonstration, tests and
-// measurements build on it.
+// Package deployment runs a small system in one process on loopback: emulated
+// platform and upstreams, and hosts. Tests and experiments use it.
 //
 // # Usage
 //
@@ -33,40 +32,40 @@
 	"amaranthgate.example/amaranthgate/runner"
 )
 
-// Names and secrets of a deployment.
+// Names, secrets and defaults of a deployment.
 const (
-	Model         = "gate-small"
-	Version       = "v1"
-	Service       = "Booking"
-	Workspace     = "demo"
-	Token         = "demo-token"
-	Operator      = "demo-operator"
-	WeightStore   = "weights"
-	PeerSecret    = "demo-peer-secret-0123456789"
-	BlockSecret   = "demo-block-secret-0123456789"
-	zones         = 3
-	readyTimeout  = 15 * time.Second
-	defaultFill   = 20000 // defaultFill is an engine's prefill rate, in tokens per second.
-	bytesPerToken = 131072
+	Model              = "gate-small"
+	Version            = "v1"
+	Service            = "Booking"
+	Workspace          = "demo"
+	Token              = "demo-token"
+	Operator           = "demo-operator"
+	WeightStore        = "weights"
+	PeerSecret         = "demo-peer-secret-0123456789"
+	BlockSecret        = "demo-block-secret-0123456789"
+	zones              = 3
+	readyTimeout       = 15 * time.Second
+	defaultPrefillRate = 20000 // defaultPrefillRate is in tokens per second.
+	bytesPerToken      = 131072
 )
 
-// Options say what to start. The zero value starts three hosts alone.
+// Options configures a deployment. The zero value starts three hosts without upstreams.
 type Options struct {
 	Hosts      int // Hosts defaults to 3.
 	Engines    int
 	Services   int
-	Engine     emulator.EngineOptions // Engine is what all engines have in common.
+	Engine     emulator.EngineOptions // Engine configures all engines.
 	LogLatency time.Duration
 	Retention  time.Duration
-	Logs       io.Writer                   // Logs gets the hosts' logs; nil discards them.
-	Settings   func(*loader.Settings)      // Settings changes what all hosts have in common.
-	Document   func(*configurer.Document)  // Document changes the configuration before it is published.
-	Wrap       func(address string) string // Wrap puts something before an upstream's address, such as a faulty proxy.
+	Logs       io.Writer                   // Logs receives the hosts' logs; nil discards them.
+	Settings   func(*loader.Settings)      // Settings modifies the settings of each host.
+	Document   func(*configurer.Document)  // Document modifies the configuration before it is published.
+	Wrap       func(address string) string // Wrap returns the address to use for an upstream.
 }
 
 // Deployment is a running system.
 type Deployment struct {
-	Platform string // Platform is the URL of log and host list.
+	Platform string // Platform is the URL of the log and the host list.
 	Log      *emulator.Log
 	List     *emulator.HostList
 	Engines  []*emulator.Engine
@@ -77,7 +76,7 @@
 	listeners []net.Listener
 }
 
-// Start starts a system and waits until all hosts serve.
+// Start starts a system and waits until all hosts are serving.
 func Start(ctx context.Context, opts Options) (*Deployment, error) {
 	if opts.Hosts == 0 {
 		opts.Hosts = 3
@@ -95,14 +94,14 @@
 			return nil, err
 		}
 	}
-	if err := d.publishFirst(ctx, opts.Hosts); err != nil {
+	if err := d.publishInitial(ctx, opts.Hosts); err != nil {
 		d.Close()
 		return nil, err
 	}
 	return d, nil
 }
 
-// StartUpstreams starts the stand-ins only, and makes the document about them.
+// StartUpstreams starts only the platform and the upstreams, and sets Document.
 func StartUpstreams(opts Options) (*Deployment, error) {
 	d := &Deployment{
 		Log:  emulator.NewLog(emulator.LogOptions{Latency: opts.LogLatency, Retention: opts.Retention}),
@@ -169,7 +168,7 @@
 func engineUpstream(opts emulator.EngineOptions, i int, address string) configurer.Upstream {
 	rate := opts.PrefillRate
 	if rate == 0 {
-		rate = defaultFill
+		rate = defaultPrefillRate
 	}
 	slots := opts.Slots
 	if slots == 0 {
@@ -218,7 +217,7 @@
 	return s
 }
 
-// StartHost starts the i-th host and puts it on the host list.
+// StartHost starts the i-th host and adds it to the host list.
 func (d *Deployment) StartHost(i int, opts Options) (*runner.Host, error) {
 	s := d.HostSettings(i, opts)
 	logs := opts.Logs
@@ -234,7 +233,7 @@
 	return h, nil
 }
 
-// serve serves a handler on a port that the system picks.
+// serve serves a handler on a port chosen by the operating system.
 func (d *Deployment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -245,8 +244,8 @@
 	return l.Addr().String(), nil
 }
 
-// publishFirst puts the document into force on all hosts.
-func (d *Deployment) publishFirst(ctx context.Context, hosts int) error {
+// publishInitial publishes the document and waits until all hosts are serving.
+func (d *Deployment) publishInitial(ctx context.Context, hosts int) error {
 	delta, err := configurer.NewDelta("first", "deployment", 0, nil, d.Document)
 	if err != nil {
 		return err
@@ -254,7 +253,7 @@
 	return d.publish(ctx, delta, func(h *runner.Host, _ uint64) bool { return h.Serving(hosts) })
 }
 
-// Publish changes the document and waits until it is in force on all hosts.
+// Publish publishes a change of the document and waits until all hosts have applied it.
 func (d *Deployment) Publish(ctx context.Context, change func(*configurer.Document)) error {
 	cur := d.Hosts[0].Current()
 	next := *cur.Document
@@ -266,17 +265,17 @@
 	return d.publish(ctx, delta, func(h *runner.Host, revision uint64) bool { return h.Revision() >= revision })
 }
 
-// publish publishes a change and waits until all hosts are as wanted.
-func (d *Deployment) publish(ctx context.Context, delta configurer.Delta, wanted func(h *runner.Host, revision uint64) bool) error {
+// publish publishes a change and waits until ready is true for all hosts.
+func (d *Deployment) publish(ctx context.Context, delta configurer.Delta, ready func(h *runner.Host, revision uint64) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	res, ok := d.Hosts[0].Publish(ctx, delta)
 	if !ok || res.Fate != configurer.FateAccepted {
-		return errors.Errorf("deployment: the change did not come into force: %+v", res)
+		return errors.Errorf("deployment: the configuration change was not accepted: %+v", res)
 	}
 	return d.wait(ctx, func() bool {
 		for _, h := range d.Hosts {
-			if !wanted(h, res.Revision) {
+			if !ready(h, res.Revision) {
 				return false
 			}
 		}
@@ -288,29 +287,29 @@
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return errors.New("deployment: not ready in time")
+			return errors.New("deployment: timed out waiting for the hosts")
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// Callers returns the address of the i-th host for callers.
+// Callers returns the i-th host's address for callers.
 func (d *Deployment) Callers(i int) string { return d.Hosts[i].Addresses().Callers }
 
-// Close drains all hosts at once and ends the stand-ins.
+// Close drains all hosts concurrently and stops the platform and the upstreams.
 func (d *Deployment) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, h := range d.Hosts {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			h.Drain(ctx)
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	for _, l := range d.listeners {
 		_ = l.Close()
 	}
--- a/internal/dialer/dialer_test.go
+++ b/internal/dialer/dialer_test.go
@@ -13,9 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSilentPathsAreNoticed: the kernel is told to give up connections whose
-// packets vanish. Dropping packets needs rights that tests do not have, so what
-// the kernel was told is read back.
+// TestSilentPathsAreNoticed checks the socket options that make the kernel end a
+// dead connection. Tests lack the privileges to drop packets.
 func TestSilentPathsAreNoticed(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -27,10 +26,10 @@
 	assert.NilError(t, err)
 	assert.NilError(t, raw.Control(func(fd uintptr) {
 		for _, c := range []struct{ option, want int }{
-			{unix.TCP_USER_TIMEOUT, int(Silence.Milliseconds())},
-			{unix.TCP_KEEPIDLE, int(probeAfter.Seconds())},
-			{unix.TCP_KEEPINTVL, int(probeAfter.Seconds())},
-			{unix.TCP_KEEPCNT, probes},
+			{unix.TCP_USER_TIMEOUT, int(UserTimeout.Milliseconds())},
+			{unix.TCP_KEEPIDLE, int(probeInterval.Seconds())},
+			{unix.TCP_KEEPINTVL, int(probeInterval.Seconds())},
+			{unix.TCP_KEEPCNT, probeCount},
 		} {
 			got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, c.option)
 			assert.NilError(t, err)
--- a/internal/duration/duration.go
+++ b/internal/duration/duration.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package duration gives time.Duration a text form for settings and
-// documents.
+// Package duration encodes time.Duration as text for settings and documents.
 //
 // # Usage
 //
@@ -17,13 +16,13 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is a time.Duration that is encoded as text, such as "250ms".
+// Duration is a time.Duration encoded as text, such as "250ms".
 type Duration time.Duration
 
 // Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String returns the form used by time.Duration.
+// String formats d like time.Duration.
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,12 +1,9 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package faultproxy is a TCP proxy for tests that brings about failures of the
-// network: delays, cuts, half-open connections, resets after a request arrived,
-// and answers that are lost after their effect.
-//
-// It stands in for the well-known proxy of that kind, whose module graph the
-// registry refuses. Faults are values that data files can hold.
+// Package faultproxy is a TCP proxy for tests that injects network faults:
+// delays, resets, half-open connections, and responses that are lost or
+// truncated after the request took effect. Faults can be read from data files.
 //
 // # Usage
 //
@@ -25,34 +22,35 @@
 	"amaranthgate.example/amaranthgate/internal/duration"
 )
 
-// Kind is what goes wrong.
+// Kind is a kind of fault.
 type Kind string
 
 // The kinds of faults.
 const (
-	Pass        Kind = ""            // Pass lets everything through.
-	Delay       Kind = "Delay"       // Delay holds each piece of data back for Time.
-	Refuse      Kind = "Refuse"      // Refuse resets new connections at once.
-	HalfOpen    Kind = "HalfOpen"    // HalfOpen accepts connections and lets nothing through.
-	DropRequest Kind = "DropRequest" // DropRequest lets nothing through towards the target.
-	DropAnswer  Kind = "DropAnswer"  // DropAnswer lets nothing through towards the caller.
-	Silence     Kind = "Silence"     // Silence lets nothing more through on what is open, and passes new connections.
-	ResetAfter  Kind = "ResetAfter"  // ResetAfter passes Bytes of the request on and resets both sides.
-	LoseAnswer  Kind = "LoseAnswer"  // LoseAnswer passes the request on and drops the connection when the answer begins.
-	CutAnswer   Kind = "CutAnswer"   // CutAnswer cuts the connection after Bytes of the answer.
-	SlowAnswer  Kind = "SlowAnswer"  // SlowAnswer passes the answer on byte by byte, Time apart, up to Bytes, then normally.
-	CutExisting Kind = "CutExisting" // CutExisting cuts what is open and passes new connections.
+	Pass        Kind = ""            // Pass forwards all data.
+	Delay       Kind = "Delay"       // Delay delays each chunk of data by Time.
+	Refuse      Kind = "Refuse"      // Refuse resets new connections immediately.
+	HalfOpen    Kind = "HalfOpen"    // HalfOpen accepts connections and drops all data.
+	DropRequest Kind = "DropRequest" // DropRequest drops data sent to the target.
+	DropAnswer  Kind = "DropAnswer"  // DropAnswer drops data sent to the caller.
+	Silence     Kind = "Silence"     // Silence drops all data on open connections and forwards new ones.
+	ResetAfter  Kind = "ResetAfter"  // ResetAfter forwards Bytes of the request and resets the connection.
+	LoseAnswer  Kind = "LoseAnswer"  // LoseAnswer resets the connection when the response begins.
+	CutAnswer   Kind = "CutAnswer"   // CutAnswer resets the connection after Bytes of the response.
+	SlowAnswer  Kind = "SlowAnswer"  // SlowAnswer sends the first Bytes of the response singly, Time apart.
+	CutExisting Kind = "CutExisting" // CutExisting closes open connections and forwards new ones.
 )
 
-// Fault is one fault.
+// Fault is a kind of fault with its parameters.
 type Fault struct {
 	Kind  Kind
 	Time  duration.Duration
 	Bytes int
 }
 
-// Proxy passes connections on to one address. A connection on which bytes were
-// dropped stays silent: passing on what follows would be another fault.
+// Proxy forwards connections to one address. After data was dropped on a
+// connection, all later data on it is dropped too, as the stream would otherwise
+// be corrupted.
 type Proxy struct {
 	target  string
 	address string
@@ -63,11 +61,11 @@
 	sessions map[*session]struct{}
 }
 
-// session is a caller's connection and the one to the target.
+// session is a caller's connection with its connection to the target.
 type session struct {
 	caller *net.TCPConn
-	target *net.TCPConn // target is nil until it stands.
-	silent atomic.Bool
+	target *net.TCPConn // target is nil until it is connected.
+	silent atomic.Bool  // silent means that all data is dropped.
 }
 
 func (s *session) close() {
@@ -77,7 +75,7 @@
 	}
 }
 
-// New starts a proxy on loopback, on a port that the system picks.
+// New starts a proxy on loopback, on a port chosen by the operating system.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,11 +86,11 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.address }
 
-// Stop closes all connections and lets nobody listen, as when the target's process ends:
-// connections are refused.
+// Stop closes the listener and all connections, as when the target's process
+// exits. New connections are refused until Start is called.
 func (p *Proxy) Stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,7 +103,7 @@
 	}
 }
 
-// Start listens again at the same address.
+// Start listens again on the same address.
 func (p *Proxy) Start() error {
 	l, err := net.Listen("tcp", p.address)
 	if err != nil {
@@ -118,7 +116,7 @@
 	return nil
 }
 
-// Set replaces the fault. It holds for data that passes from then on.
+// Set replaces the fault. It applies to data that arrives afterwards.
 func (p *Proxy) Set(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +131,7 @@
 	}
 }
 
-// Close ends the proxy and all its connections.
+// Close closes the proxy and all its connections.
 func (p *Proxy) Close() { p.Stop() }
 
 func (p *Proxy) current() Fault {
@@ -152,7 +150,7 @@
 	}
 }
 
-// track remembers a session until the function that it returns is called.
+// track registers a session. The returned function closes and removes it.
 func (p *Proxy) track(s *session) func() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,24 +185,24 @@
 	p.mu.Unlock()
 	done := make(chan struct{}, 2)
 	go func() {
-		p.pump(s, caller, s.target, p.request(s))
+		p.copyFiltered(s, caller, s.target, p.requestFilter(s))
 		done <- struct{}{}
 	}()
 	go func() {
-		p.pump(s, s.target, caller, p.answer(s))
+		p.copyFiltered(s, s.target, caller, p.responseFilter(s))
 		done <- struct{}{}
 	}()
 	<-done
 }
 
-const pieceBytes = 32 << 10
+const bufferBytes = 32 << 10
 
-// pump passes on what one side sends, a piece at a time. pass returns what of a
-// piece is still to be written, and whether the connection lives on; passed counts
-// the bytes before it.
-func (p *Proxy) pump(s *session, from, to *net.TCPConn, pass func(b []byte, passed int) (rest []byte, alive bool)) {
-	buf := make([]byte, pieceBytes)
-	passed := 0
+// copyFiltered copies data from one connection to the other, chunk by chunk. For
+// each chunk, filter gets the number of bytes before it, and returns the data to
+// write and whether to keep the connection open.
+func (p *Proxy) copyFiltered(s *session, from, to *net.TCPConn, filter func(b []byte, offset int) (data []byte, open bool)) {
+	buf := make([]byte, bufferBytes)
+	offset := 0
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
@@ -213,21 +211,21 @@
 		if s.silent.Load() {
 			continue
 		}
-		rest, alive := pass(buf[:n], passed)
-		passed += n
-		if _, err := to.Write(rest); err != nil {
+		data, open := filter(buf[:n], offset)
+		offset += n
+		if _, err := to.Write(data); err != nil {
 			return
 		}
-		if !alive {
+		if !open {
 			reset(s.caller)
 			return
 		}
 	}
 }
 
-// request decides on a piece that the caller sends.
-func (p *Proxy) request(s *session) func(b []byte, passed int) ([]byte, bool) {
-	return func(b []byte, passed int) ([]byte, bool) {
+// requestFilter returns the filter for data from the caller.
+func (p *Proxy) requestFilter(s *session) func(b []byte, offset int) ([]byte, bool) {
+	return func(b []byte, offset int) ([]byte, bool) {
 		switch f := p.current(); f.Kind {
 		case HalfOpen, DropRequest:
 			s.silent.Store(true)
@@ -235,15 +233,15 @@
 		case Delay:
 			time.Sleep(f.Time.Std())
 		case ResetAfter:
-			return upTo(f.Bytes, passed, b)
+			return truncate(f.Bytes, offset, b)
 		}
 		return b, true
 	}
 }
 
-// answer decides on a piece that the target sends.
-func (p *Proxy) answer(s *session) func(b []byte, passed int) ([]byte, bool) {
-	return func(b []byte, passed int) ([]byte, bool) {
+// responseFilter returns the filter for data from the target.
+func (p *Proxy) responseFilter(s *session) func(b []byte, offset int) ([]byte, bool) {
+	return func(b []byte, offset int) ([]byte, bool) {
 		switch f := p.current(); f.Kind {
 		case HalfOpen, DropAnswer:
 			s.silent.Store(true)
@@ -253,31 +251,33 @@
 		case LoseAnswer:
 			return nil, false
 		case CutAnswer:
-			return upTo(f.Bytes, passed, b)
+			return truncate(f.Bytes, offset, b)
 		case SlowAnswer:
-			return p.drip(s, b, f, passed)
+			return p.writeSlowly(s, b, f, offset)
 		}
 		return b, true
 	}
 }
 
-// upTo returns what of a piece lies before the byte at which a connection ends.
-func upTo(bytes, passed int, piece []byte) ([]byte, bool) {
-	if passed+len(piece) <= bytes {
-		return piece, true
+// truncate returns the part of chunk within the first limit bytes of the stream, and
+// whether that is all of it. The chunk begins at offset.
+func truncate(limit, offset int, chunk []byte) ([]byte, bool) {
+	if offset+len(chunk) <= limit {
+		return chunk, true
 	}
-	return piece[:max(0, bytes-passed)], false
+	return chunk[:max(0, limit-offset)], false
 }
 
-// drip writes the first bytes of an answer one by one and returns the others.
-func (p *Proxy) drip(s *session, b []byte, f Fault, passed int) ([]byte, bool) {
-	for len(b) > 0 && passed < f.Bytes {
+// writeSlowly writes the part of b within the first f.Bytes of the response byte by
+// byte, and returns the rest.
+func (p *Proxy) writeSlowly(s *session, b []byte, f Fault, offset int) ([]byte, bool) {
+	for len(b) > 0 && offset < f.Bytes {
 		time.Sleep(f.Time.Std())
 		if _, err := s.caller.Write(b[:1]); err != nil {
 			return nil, false
 		}
 		b = b[1:]
-		passed++
+		offset++
 	}
 	return b, true
 }
--- a/internal/foldcheck/check.go
+++ b/internal/foldcheck/check.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package foldcheck checks what every fold of a stream must keep: a state that
-// was restored from a checkpoint equals the one that was folded, and goes on
-// like it.
+// Package foldcheck tests implementations of folder.State: a state restored
+// from a checkpoint must equal the original and apply later entries alike.
 //
 // # Usage
 //
@@ -18,48 +17,48 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// Written is an entry and who wrote it.
+// Written is an entry with its writer.
 type Written struct {
 	Writer string
 	Entry  folder.Entry
 }
 
-// Run folds entries and, after each of them, restores the state from its image
-// and folds the rest over that. Every way must end in the same image. Entries
-// that cannot be decoded must change nothing.
-func Run(t *testing.T, fresh func() folder.State, entries []Written) {
+// Run applies entries to a state from newState. For each prefix of entries it also
+// restores a state from a checkpoint after that prefix and applies the rest. All
+// encoded results must be equal, and malformed entries must change nothing.
+func Run(t *testing.T, newState func() folder.State, entries []Written) {
 	t.Helper()
 	at := func(i int) folder.Position {
 		return folder.Position{Offset: uint64(i), Time: time.Date(2026, 3, 12, 8, 0, i, 987654321, time.UTC)}
 	}
-	whole := fresh()
+	full := newState()
 	for i, w := range entries {
-		whole.Apply(at(i), w.Writer, w.Entry)
+		full.Apply(at(i), w.Writer, w.Entry)
 	}
-	want := whole.EncodeState()
-	if bytes.Equal(want, fresh().EncodeState()) {
-		t.Fatal("foldcheck: the entries change nothing")
+	want := full.EncodeState()
+	if bytes.Equal(want, newState().EncodeState()) {
+		t.Fatal("foldcheck: the entries do not change the state")
 	}
-	for cut := range len(entries) {
-		s := fresh()
-		for i, w := range entries[:cut] {
+	for applied := range len(entries) {
+		s := newState()
+		for i, w := range entries[:applied] {
 			s.Apply(at(i), w.Writer, w.Entry)
 		}
-		restored := fresh()
+		restored := newState()
 		if err := restored.DecodeState(s.EncodeState()); err != nil {
-			t.Fatalf("foldcheck: restore after %d entries: %v", cut, err)
+			t.Fatalf("foldcheck: restore after %d entries: %v", applied, err)
 		}
-		for i, w := range entries[cut:] {
-			restored.Apply(at(cut+i), w.Writer, w.Entry)
+		for i, w := range entries[applied:] {
+			restored.Apply(at(applied+i), w.Writer, w.Entry)
 		}
 		if !bytes.Equal(restored.EncodeState(), want) {
-			t.Fatalf("foldcheck: restored after %d entries, the state differs", cut)
+			t.Fatalf("foldcheck: the state restored after %d entries differs", applied)
 		}
 	}
 	for _, w := range entries {
-		whole.Apply(at(len(entries)), w.Writer, folder.Entry{Kind: w.Entry.Kind, Body: []byte{0x9f}})
+		full.Apply(at(len(entries)), w.Writer, folder.Entry{Kind: w.Entry.Kind, Body: []byte{0x9f}})
 	}
-	if !bytes.Equal(whole.EncodeState(), want) {
-		t.Fatal("foldcheck: a damaged entry changed the state")
+	if !bytes.Equal(full.EncodeState(), want) {
+		t.Fatal("foldcheck: a malformed entry changed the state")
 	}
 }
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package freeport finds loopback addresses for processes under test that must know
-// each other's addresses before they listen.
+// Package freeport allocates loopback addresses for processes under test that must
+// know each other's addresses before they listen.
 //
 // # Usage
 //
@@ -18,38 +18,34 @@
 	"github.com/pkg/errors"
 )
 
-// Ports are drawn from below the range that Linux gives to outgoing connections
-// (32768 and above), so that none of those takes a port between the choice and the
-// moment when a process listens, or while it is started anew.
+// Ports lie below Linux's default ephemeral range (32768 and above), so that no
+// outgoing connection takes a port before a process listens on it.
 const (
-	lowest  = 12000
-	highest = 32000
+	minPort = 12000
+	maxPort = 32000
 )
 
-// Ports are given out of blocks. A process claims a block by listening on its first port as
-// long as it runs, so that no other process draws a port that this one has given and on
-// which nobody listens yet: of 300 tests that started 15 listeners each, 20 at a time, one
-// found its port taken.
+// blockPorts is the number of ports in a block. A process claims a block by listening on
+// its first port until the process exits, so that no other process allocates from it.
 const blockPorts = 50
 
-// tries bounds the draws of blocks.
-const tries = 200
+const maxClaimAttempts = 200
 
 // block is a claimed range of ports.
 type block struct {
-	claim net.Listener
-	next  int // next is the port that is given next.
-	end   int
+	listener net.Listener // listener is on the first port and claims the block.
+	next     int          // next is the next port to allocate.
+	end      int
 }
 
 var (
-	mu      sync.Mutex
-	current = &block{}
-	claimed []net.Listener // claimed keeps the claims from being closed as garbage.
+	mu        sync.Mutex
+	current   = &block{}
+	listeners []net.Listener // listeners protects the claims from garbage collection.
 )
 
-// Addresses returns n addresses on which nobody listens and which no earlier call has
-// returned, in this process or in another that runs.
+// Addresses returns n addresses that are not in use and that no earlier call has
+// returned, in this process or in another running one.
 func Addresses(n int) ([]string, error) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -60,7 +56,7 @@
 			if err != nil {
 				return nil, err
 			}
-			current, claimed = b, append(claimed, b.claim)
+			current, listeners = b, append(listeners, b.listener)
 		}
 		address := addressOf(current.next)
 		current.next++
@@ -72,18 +68,18 @@
 	return out, nil
 }
 
-// claimBlock draws a block that no process has.
+// claimBlock claims a random block that no running process has claimed.
 func claimBlock() (*block, error) {
-	failed := errors.New("no block was drawn")
-	for range tries {
-		first := lowest + blockPorts*rand.IntN((highest-lowest)/blockPorts)
-		claim, err := net.Listen("tcp4", addressOf(first))
+	lastErr := errors.New("no block was tried")
+	for range maxClaimAttempts {
+		first := minPort + blockPorts*rand.IntN((maxPort-minPort)/blockPorts)
+		l, err := net.Listen("tcp4", addressOf(first))
 		if err == nil {
-			return &block{claim: claim, next: first + 1, end: first + blockPorts}, nil
+			return &block{listener: l, next: first + 1, end: first + blockPorts}, nil
 		}
-		failed = err
+		lastErr = err
 	}
-	return nil, errors.Wrap(failed, "freeport: no block is free")
+	return nil, errors.Wrap(lastErr, "freeport: no free block of ports")
 }
 
 func addressOf(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestNoneIsGivenTwice: processes that do not listen yet get different addresses.
-func TestNoneIsGivenTwice(t *testing.T) {
+// TestAddressesAreDistinct checks that addresses differ although nothing listens on them yet.
+func TestAddressesAreDistinct(t *testing.T) {
 	seen := make(map[string]bool)
 	for range 200 {
 		addresses, err := Addresses(5)
@@ -24,12 +24,12 @@
 	}
 }
 
-// TestBlocksAreClaimed: while a process runs, no other can claim its block, and one whose ports
-// are in use otherwise gives the rest.
-func TestBlocksAreClaimed(t *testing.T) {
+// TestBlockIsExclusive checks that a claimed block cannot be claimed again, and that ports
+// in use within a block are skipped.
+func TestBlockIsExclusive(t *testing.T) {
 	b, err := claimBlock()
 	assert.NilError(t, err)
-	defer func() { assert.NilError(t, b.claim.Close()) }()
+	defer func() { assert.NilError(t, b.listener.Close()) }()
 	_, err = net.Listen("tcp4", addressOf(b.next-1))
 	assert.ErrorIs(t, err, syscall.EADDRINUSE)
 
@@ -37,12 +37,12 @@
 	assert.NilError(t, err)
 	defer func() { assert.NilError(t, taken.Close()) }()
 	mu.Lock()
-	before := current
+	saved := current
 	current = b
 	mu.Unlock()
 	got, err := Addresses(1)
 	mu.Lock()
-	current = before
+	current = saved
 	mu.Unlock()
 	assert.NilError(t, err)
 	assert.Equal(t, got[0], addressOf(b.end-blockPorts+2))
--- a/internal/seeder/doc.go
+++ b/internal/seeder/doc.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package seeder gives random searches in tests the same start at every run,
-// so that the verdict on a commit does not hang on luck. A longer search with
-// other seeds is asked for on the command line:
+// Package seeder fixes the seed of property-based tests with package rapid, so
+// that test results are reproducible. Flags run more cases with another seed:
 //
 //	go test ./renewer -run Random -rapid.seed=0 -rapid.checks=20000
 //
--- a/internal/seeder/seeder.go
+++ b/internal/seeder/seeder.go
@@ -5,16 +5,15 @@
 
 import "flag"
 
-// seed is the start of every search that names none. Any number but 0 does:
-// 0 asks rapid for another one at each run.
+// seed is the default seed. It must not be 0, for which rapid chooses a random seed.
 const seed = "20260312"
 
-// Fix sets the seed of package rapid. It must run before flags are parsed, in
-// an init function of a test package that imports rapid. It panics if rapid is
-// not imported.
+// Fix sets the seed of package rapid. It must be called before flags are parsed,
+// in an init function of a test package that imports rapid. It panics if rapid
+// is not imported.
 func Fix() { set("rapid.seed", seed) }
 
-// Checks sets how many cases a search of package rapid tries.
+// Checks sets the number of cases that package rapid runs per test.
 func Checks(n string) { set("rapid.checks", n) }
 
 func set(name, value string) {
--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package strictjson decodes JSON with comments into Go structures and
-// reports every fault of the text with its line, not only the first.
+// Package strictjson decodes JSON with comments into Go values and reports all
+// errors in the text, each with its line, instead of only the first.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //	if len(faults) > 0 { ... }
 //	line := src.Line("/Workspaces/3/Name")
 //
-// Unknown names, names that stand twice, wrong types and values that the
-// target type refuses are faults. Names are matched exactly.
+// Unknown names, duplicate names, wrong types and values that the target type
+// rejects are faults. Names are case-sensitive.
 package strictjson
 
 import (
@@ -27,9 +27,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one thing wrong with a text.
+// Fault is an error in a text.
 type Fault struct {
-	Line    int    // Line counts from 1; 0 where no line is known.
+	Line    int    // Line counts from 1; 0 means unknown.
 	Pointer string // Pointer is an RFC 6901 JSON pointer.
 	Message string
 }
@@ -42,14 +42,14 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Pointer, f.Message)
 }
 
-// Source remembers where each value of a decoded text stands.
+// Source maps the values of a decoded text to lines.
 type Source struct {
 	data []byte
 	root hujson.Value
 }
 
-// Line returns the line of the value at an RFC 6901 pointer, or of its
-// nearest ancestor that exists.
+// Line returns the line of the value at an RFC 6901 JSON pointer, or of its
+// nearest existing ancestor.
 func (s *Source) Line(pointer string) int {
 	if s == nil {
 		return 0
@@ -80,8 +80,8 @@
 	faults []Fault
 }
 
-// Decode reads data into dst, a non-nil pointer to a struct, and returns all
-// faults found, in the order of their lines. Parts without faults are set.
+// Decode decodes data into dst, a non-nil pointer to a struct, and returns all
+// faults in line order. Fields without faults are set.
 func Decode(data []byte, dst any) (*Source, []Fault) {
 	root, err := hujson.Parse(data)
 	if err != nil {
@@ -93,8 +93,8 @@
 	return &Source{data: data, root: root}, d.faults
 }
 
-// errorLine extracts the line from a syntax error of the parser, whose text
-// begins "hujson: line N, column M".
+// errorLine returns the line of a syntax error, whose text begins
+// "hujson: line N, column M".
 func errorLine(err error) int {
 	var line, column int
 	if _, e := fmt.Sscanf(err.Error(), "hujson: line %d, column %d", &line, &column); e != nil {
@@ -144,7 +144,7 @@
 		name := m.Name.Value.(hujson.Literal).String()
 		at := pointer + "/" + escape(name)
 		if seen[name] {
-			d.fault(at, &m.Name, "stands twice")
+			d.fault(at, &m.Name, "duplicate name")
 			continue
 		}
 		seen[name] = true
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package wire holds the protocol between the system and its upstreams.
-// Requests to generate text follow the usual completions API; the rest is
-// control.
+// Package wire defines the messages between the system and its upstreams:
+// generation requests, which follow the completions API, and control messages.
 //
 // # Usage
 //
@@ -21,11 +20,14 @@
 	Stream        bool           `json:"stream,omitempty"`
 	StreamOptions *StreamOptions `json:"stream_options,omitempty"`
 	Priority      int            `json:"priority,omitempty"`   // Priority orders waiting requests; lower runs first.
-	CacheSalt     string         `json:"cache_salt,omitempty"` // CacheSalt is the root of the names of cached blocks.
+	CacheSalt     string         `json:"cache_salt,omitempty"` // CacheSalt seeds the names of cached blocks.
 	Version       string         `json:"weight_version,omitempty"`
-	Continue      bool           `json:"continue_final_message,omitempty"` // Continue goes on with the last message instead of answering it.
-	Restore       []SegmentRef   `json:"kv_restore,omitempty"`             // Restore lists kept segments to import first, in prefix order.
-	RestoreWithin int            `json:"kv_restore_within_ms,omitempty"`   // RestoreWithin bounds, in milliseconds from arrival, when the import may begin.
+	// Continue means to continue the last message instead of replying to it.
+	Continue bool `json:"continue_final_message,omitempty"`
+	// Restore lists stored segments to import before prefill, in prefix order.
+	Restore []SegmentRef `json:"kv_restore,omitempty"`
+	// RestoreWithin is the latest start of the import, in milliseconds after arrival.
+	RestoreWithin int `json:"kv_restore_within_ms,omitempty"`
 }
 
 // Message is one turn of a chat.
@@ -34,19 +36,19 @@
 	Content string `json:"content"`
 }
 
-// StreamOptions select parts of a stream.
+// StreamOptions selects optional parts of a stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// SegmentRef names one generation of a kept segment: a run of blocks of one
-// prompt, named by its last block.
+// SegmentRef names one generation of a stored segment: a run of consecutive
+// blocks of one prompt, named after its last block.
 type SegmentRef struct {
 	Name       string `json:"name"`
 	Generation uint64 `json:"generation"`
 }
 
-// Chunk is one event of a stream, or the whole answer.
+// Chunk is one event of a stream, or the whole response.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -55,7 +57,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is one alternative of an answer.
+// Choice is one alternative of a response.
 type Choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
@@ -72,7 +74,7 @@
 	PromptDetails    PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptText returns the text that a request is about.
+// PromptText returns the prompt of a request as one text.
 func (r *CompletionRequest) PromptText() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -93,19 +95,19 @@
 	return text.String()
 }
 
-// PromptDetails tells what part of a prompt was not computed.
+// PromptDetails counts the prompt tokens that were read from the cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
 // Headers of the protocol.
 const (
-	HeaderNonce   = "X-Request-Id"     // HeaderNonce carries the nonce of an attempt and is echoed.
-	HeaderVersion = "X-Weight-Version" // HeaderVersion carries the weight version that answers.
-	HeaderRan     = "X-Request-Ran"    // HeaderRan is "no" when the upstream says that it did not run the request.
+	HeaderNonce   = "X-Request-Id"     // HeaderNonce carries the nonce of an attempt; the upstream echoes it.
+	HeaderVersion = "X-Weight-Version" // HeaderVersion carries the weight version that serves the request.
+	HeaderRan     = "X-Request-Ran"    // HeaderRan is "no" if the upstream did not run the request.
 )
 
-// LoadState is what an upstream says of itself.
+// LoadState is the state that an upstream reports.
 type LoadState string
 
 // The states of an upstream.
@@ -114,18 +116,18 @@
 	LoadLeaving LoadState = "Leaving"
 )
 
-// LoadReport is the answer to a question for load.
+// LoadReport is the response to a load query.
 type LoadReport struct {
 	Incarnation   uint64
 	State         LoadState
 	Running       int
 	Waiting       int
-	WaitingTokens int // WaitingTokens are prompt tokens not yet computed.
+	WaitingTokens int // WaitingTokens is the number of prompt tokens not yet computed.
 	Models        []LoadedModel
-	Role          string `json:",omitempty"` // Role is what the engine does, such as Prefill or Decode.
+	Role          string `json:",omitempty"` // Role is the engine's role, such as Prefill or Decode.
 }
 
-// LoadedModel is a model version that an engine has or is loading.
+// LoadedModel is a model version that an engine has loaded or is loading.
 type LoadedModel struct {
 	Name    string
 	Version string
@@ -133,16 +135,16 @@
 	Loading bool   `json:",omitempty"`
 }
 
-// CacheEventKind tells what became of a block.
+// CacheEventKind is a kind of change of a block or segment.
 type CacheEventKind string
 
 // The kinds of cache events.
 const (
-	BlockCached   CacheEventKind = "Cached"  // BlockCached says the block is in accelerator memory.
-	BlockEvicted  CacheEventKind = "Evicted" // BlockEvicted says it left accelerator memory.
-	SegmentSealed CacheEventKind = "Sealed"  // SegmentSealed says that a segment is whole in the store.
-	SegmentFreed  CacheEventKind = "Freed"   // SegmentFreed says that a segment left the store.
-	CacheCleared  CacheEventKind = "Cleared" // CacheCleared says that all is gone.
+	BlockCached   CacheEventKind = "Cached"  // BlockCached reports a block in accelerator memory.
+	BlockEvicted  CacheEventKind = "Evicted" // BlockEvicted reports a block evicted from accelerator memory.
+	SegmentSealed CacheEventKind = "Sealed"  // SegmentSealed reports a segment complete in the store.
+	SegmentFreed  CacheEventKind = "Freed"   // SegmentFreed reports a segment removed from the store.
+	CacheCleared  CacheEventKind = "Cleared" // CacheCleared reports that the cache is empty.
 )
 
 // CacheEvent is one change of an upstream's cache.
@@ -151,40 +153,40 @@
 	Kind       CacheEventKind
 	Block      string
 	Generation uint64 `json:",omitempty"`
-	Blocks     int    `json:",omitempty"` // Blocks is the length of a segment.
+	Blocks     int    `json:",omitempty"` // Blocks is the number of blocks of a segment.
 	From       int    `json:",omitempty"` // From is the number of blocks before a segment.
 	Parent     string `json:",omitempty"` // Parent is the name of the block before a segment.
 }
 
-// CacheEvents is an answer to a question for events. Events between the number
-// asked for and the first one returned are lost.
+// CacheEvents is the response to a query for events. Events between the requested
+// sequence number and the first one returned are lost.
 type CacheEvents struct {
 	Incarnation uint64
 	Next        uint64
 	Events      []CacheEvent
 }
 
-// KeptSegments is an answer to a question for all sealed segments of a store.
+// KeptSegments is the response to a query for all sealed segments of a store.
 type KeptSegments struct {
 	Incarnation uint64
 	Next        uint64 // Next is the sequence number of the next event.
 	Segments    []CacheEvent
 }
 
-// OrderKind tells what an upstream is ordered to do.
+// OrderKind is a kind of order.
 type OrderKind string
 
 // The kinds of order.
 const (
 	OrderLoad   OrderKind = "Load"   // OrderLoad loads a model version.
-	OrderUnload OrderKind = "Unload" // OrderUnload drops a model version.
+	OrderUnload OrderKind = "Unload" // OrderUnload unloads a model version.
 	OrderExport OrderKind = "Export" // OrderExport copies a run of cached blocks to the store as one segment.
-	OrderFree   OrderKind = "Free"   // OrderFree frees kept segments.
-	OrderRole   OrderKind = "Role"   // OrderRole changes what an engine does.
-	OrderImport OrderKind = "Import" // OrderImport copies kept segments back ahead of a request.
+	OrderFree   OrderKind = "Free"   // OrderFree frees stored segments.
+	OrderRole   OrderKind = "Role"   // OrderRole changes an engine's role.
+	OrderImport OrderKind = "Import" // OrderImport copies stored segments back to the cache before a request.
 )
 
-// Order is one order to an upstream. All orders may be repeated.
+// Order is a command to an upstream. All orders are idempotent.
 type Order struct {
 	Fencing  uint64
 	Kind     OrderKind
@@ -195,12 +197,12 @@
 	Blocks   []string     `json:",omitempty"` // Blocks are the names of the run to export.
 	From     int          `json:",omitempty"` // From is the number of blocks before the run.
 	Parent   string       `json:",omitempty"` // Parent is the name of the block before the run.
-	Segments []SegmentRef `json:",omitempty"` // Segments are what to import or free.
+	Segments []SegmentRef `json:",omitempty"` // Segments are the segments to import or free.
 }
 
-// OrderAnswer tells what became of an order.
+// OrderAnswer is the response to an order.
 type OrderAnswer struct {
 	Accepted bool
-	Fencing  uint64 // Fencing is the highest number the upstream has seen.
+	Fencing  uint64 // Fencing is the highest fencing token that the upstream has seen.
 	Reason   string `json:",omitempty"`
 }
