--- a/cmd/amaranthgate/bookings_test.go
+++ b/cmd/amaranthgate/bookings_test.go
@@ -22,34 +22,34 @@
 	"amaranthgate.example/amaranthgate/server"
 )
 
-// bookings is a load of requests that may run only once, each repeated with the
-// same key until it is answered or known to be lost.
+// bookings generates requests that may run only once. Each is retried with the same
+// idempotency key until it is answered, rejected without running, or may have run.
 type bookings struct {
-	mu       sync.Mutex
-	answered int
-	notRun   []string // notRun are keys whose only attempt was refused as not run.
-	lies     []string
-	outcomes map[string]int // outcomes counts what became of attempts, for a failed run.
+	mu         sync.Mutex
+	answered   int
+	notRun     []string // notRun holds keys whose only attempt was rejected without running.
+	violations []string
+	outcomes   map[string]int // outcomes counts the results of attempts, to log when the test fails.
 }
 
 // run sends bookings through all hosts until ctx ends.
 func (b *bookings) run(ctx context.Context, s *system, workers int) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for w := range workers {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			for i := 0; ctx.Err() == nil; i++ {
-				b.one(ctx, s, fmt.Sprintf("key-%d-%d", w, i), w+i)
+				b.bookOnce(ctx, s, fmt.Sprintf("key-%d-%d", w, i), w+i)
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-func (b *bookings) one(ctx context.Context, s *system, key string, n int) {
-	for try := range 4 {
-		a, err := book(context.WithoutCancel(ctx), s.host((n+try)%s.count()).addr.Callers, key, try == 0)
+func (b *bookings) bookOnce(ctx context.Context, s *system, key string, n int) {
+	for attempt := range 4 {
+		a, err := book(context.WithoutCancel(ctx), s.host((n+attempt)%s.count()).addr.Callers, key, attempt == 0)
 		b.mu.Lock()
 		b.outcomes[fmt.Sprintf("%d %s %s %v", a.status, a.reason, a.ran, err)]++
 		switch {
@@ -57,12 +57,12 @@
 		case a.status == http.StatusOK:
 			b.answered++
 			if runs := s.runs()[key]; runs != 1 {
-				b.lies = append(b.lies, fmt.Sprintf("%s was answered and ran %d times", key, runs))
+				b.violations = append(b.violations, fmt.Sprintf("%s was answered and ran %d times", key, runs))
 			}
-		case a.ran == "No" && try == 0:
+		case a.ran == "No" && attempt == 0:
 			b.notRun = append(b.notRun, key)
 		}
-		done := err == nil && (a.status == http.StatusOK || a.ran == "No" && try == 0 || a.reason == server.ReasonMayHaveRun)
+		done := err == nil && (a.status == http.StatusOK || a.ran == "No" && attempt == 0 || a.reason == server.ReasonMayHaveRun)
 		b.mu.Unlock()
 		if done {
 			return
@@ -70,7 +70,7 @@
 	}
 }
 
-// runs returns the services' own record of how often each key ran.
+// runs returns how often each key ran according to the services.
 func (s *system) runs() map[string]int {
 	out := make(map[string]int)
 	for _, svc := range s.Services {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// check looks at the services' own record.
+// check compares the callers' results with the number of runs of each key.
 func (b *bookings) check(t *testing.T, runs map[string]int) {
 	t.Helper()
 	for key, n := range runs {
@@ -90,11 +90,11 @@
 	for _, key := range b.notRun {
 		assert.Equal(t, runs[key], 0, "%s was refused as not run", key)
 	}
-	assert.DeepEqual(t, b.lies, []string(nil))
+	assert.DeepEqual(t, b.violations, []string(nil))
 	assert.Assert(t, b.answered > 0)
 }
 
-// fault is one thing that happens to a system under load.
+// fault is a sequence of faults to inject into a system under load.
 type fault struct {
 	Name  string
 	Steps []faultStep
@@ -107,8 +107,8 @@
 	Log   emulator.LogFault
 }
 
-// TestBookingsUnderFaults keeps a load of bookings on while the faults of the
-// data file happen, and checks every word against the service's own record.
+// TestBookingsUnderFaults injects the faults of the data file under a load of bookings,
+// and checks that no booking runs twice or is reported wrongly.
 func TestBookingsUnderFaults(t *testing.T) {
 	text, err := os.ReadFile("testdata/faults.jsonc")
 	assert.NilError(t, err)
@@ -120,7 +120,7 @@
 			s := startSystem(t, 3, deployment.Options{Services: 2})
 			ctx, cancel := context.WithCancel(t.Context())
 			b := &bookings{outcomes: make(map[string]int)}
-			t.Cleanup(func() { b.tell(t, s) })
+			t.Cleanup(func() { b.logFailure(t, s) })
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
@@ -138,9 +138,8 @@
 	}
 }
 
-// tell prints what a failed run leaves to be read: what became of attempts, and what the
-// hosts believe.
-func (b *bookings) tell(t *testing.T, s *system) {
+// logFailure logs the results of attempts and the hosts' state if the test failed.
+func (b *bookings) logFailure(t *testing.T, s *system) {
 	if !t.Failed() {
 		return
 	}
@@ -153,7 +152,7 @@
 	}
 }
 
-// wait waits until more bookings were answered.
+// wait waits until more further bookings are answered.
 func (b *bookings) wait(t *testing.T, _ *system, more int) {
 	t.Helper()
 	count := func() int {
@@ -161,8 +160,8 @@
 		defer b.mu.Unlock()
 		return b.answered
 	}
-	from := count()
-	eventually(t, "bookings go on", func() bool { return count() >= from+more })
+	before := count()
+	eventually(t, "more bookings are answered", func() bool { return count() >= before+more })
 }
 
 func (s *system) step(st faultStep) {
@@ -175,8 +174,8 @@
 		s.host(host).signal(syscall.SIGKILL)
 		<-s.host(host).done
 		s.List.RemoveHost(fmt.Sprintf("host-%d", host+1))
-		s.replace(host)
-	case "Freeze": // past the lease, then on
+		s.restart(host)
+	case "Freeze": // until after the lease has expired
 		s.host(host).signal(syscall.SIGSTOP)
 		time.Sleep(4500 * time.Millisecond)
 		s.host(host).signal(syscall.SIGCONT)
--- a/cmd/amaranthgate/main.go
+++ b/cmd/amaranthgate/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Command amaranthgate runs one host of the system and the tools around it.
+// Command amaranthgate runs a host of the system and its command-line tools.
 //
 // # Usage
 //
@@ -10,9 +10,8 @@
 //	amaranthgate check --settings settings.jsonc --configuration configuration.jsonc
 //	amaranthgate help
 //
-// It exits with 0 when all went well, 1 when something failed, 2 when the
-// command line, the settings or a document are wrong, and 3 when a shutdown
-// had to cut requests.
+// The exit status is 0 on success, 1 on failure, 2 if the command line, the
+// settings or a document are invalid, and 3 if a shutdown aborted requests.
 package main
 
 import (
--- a/cmd/amaranthgate/process_test.go
+++ b/cmd/amaranthgate/process_test.go
@@ -49,13 +49,13 @@
 	os.Exit(code)
 }
 
-// system is a platform and upstreams in this process, and hosts as processes of
-// their own.
+// system is an emulated platform and upstreams in this process, and hosts in
+// processes of their own.
 type system struct {
 	*deployment.Deployment
 	t        *testing.T
-	platform *faultproxy.Proxy // platform stands before log and host list.
-	proxies  map[string]*faultproxy.Proxy
+	platform *faultproxy.Proxy            // platform is the proxy for the log and the host list.
+	proxies  map[string]*faultproxy.Proxy // proxies are by upstream address.
 
 	mu    sync.Mutex
 	hosts []*process
@@ -75,15 +75,15 @@
 	return len(s.hosts)
 }
 
-// replace starts the i-th host anew.
-func (s *system) replace(i int) {
+// restart starts a new process for the i-th host.
+func (s *system) restart(i int) {
 	p := s.startHost(i)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts[i] = p
 }
 
-// process is one host.
+// process is a host's process.
 type process struct {
 	cmd  *exec.Cmd
 	addr runner.Addresses
@@ -113,11 +113,11 @@
 	for i := range hosts {
 		s.hosts = append(s.hosts, s.startHost(i))
 	}
-	s.publishFirst()
+	s.publishInitial()
 	return s
 }
 
-// startHost starts the i-th host as a process and puts it on the host list.
+// startHost starts the i-th host in a process and adds it to the host list.
 func (s *system) startHost(i int) *process {
 	settings := s.HostSettings(i, deployment.Options{})
 	text, err := json.Marshal(settings)
@@ -151,7 +151,7 @@
 
 func (p *process) signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
 
-func (s *system) publishFirst() {
+func (s *system) publishInitial() {
 	path := filepath.Join(s.t.TempDir(), "configuration.json")
 	assert.NilError(s.t, os.WriteFile(path, s.Document.Encode(), 0o600))
 	eventually(s.t, "the first configuration is accepted", func() bool {
@@ -161,7 +161,7 @@
 	for i := range s.count() {
 		s.waitReady(i)
 	}
-	eventually(s.t, "the duties are taken", func() bool {
+	eventually(s.t, "the leases of the claim ranges are held", func() bool {
 		d := s.dump(0)
 		return d.Leases["Claims-0"].Holder != "" && d.Leases["Claims-1"].Holder != ""
 	})
@@ -188,7 +188,7 @@
 	}, poll.WithTimeout(60*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
-// dump returns the control state of a host.
+// dump returns the control state of a host; it is empty if the host does not respond.
 func (s *system) dump(i int) controller.Dump {
 	out, err := exec.Command(binary, "dump", "--operators", s.host(i).addr.Operators, "--token", deployment.Operator).Output()
 	if err != nil {
@@ -199,7 +199,7 @@
 	return d.Control
 }
 
-// ownerOf returns the index of the host that owns a range of claims.
+// ownerOf returns the index of the host that holds a lease.
 func (s *system) ownerOf(lease string) int {
 	for i := range s.count() {
 		if d := s.dump(i); d.Writer != "" {
@@ -211,12 +211,12 @@
 			}
 		}
 	}
-	s.t.Fatal("nobody owns the range")
+	s.t.Fatal("no host holds the lease")
 	return 0
 }
 
-// answer is what a caller learned.
-type answer struct {
+// response is a response to a caller.
+type response struct {
 	status int
 	body   string
 	ran    string
@@ -224,10 +224,10 @@
 }
 
 // book sends a request that may run only once.
-func book(ctx context.Context, address, key string, first bool) (answer, error) {
+func book(ctx context.Context, address, key string, first bool) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/services/Booking/slots", strings.NewReader(key))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+deployment.Token)
 	req.Header.Set("Idempotency-Key", key)
@@ -237,11 +237,11 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	a := answer{status: resp.StatusCode, body: string(b)}
+	a := response{status: resp.StatusCode, body: string(b)}
 	var p server.Problem
 	if resp.StatusCode >= 400 && json.Unmarshal(b, &p) == nil {
 		a.ran, a.reason = string(p.Ran), p.Reason
@@ -249,13 +249,13 @@
 	return a, err
 }
 
-// TestDrainByTerm ends a host by SIGTERM under load: no request is cut and it
-// exits with 0.
+// TestDrainByTerm checks that a host under load exits with 0 after SIGTERM and
+// aborts no request.
 func TestDrainByTerm(t *testing.T) {
 	s := startSystem(t, 2, deployment.Options{Engines: 1, Engine: emulator.EngineOptions{TokenInterval: 20 * time.Millisecond, Slots: 64}})
 	replies := make(chan error, 8)
 	for i := range cap(replies) {
-		go func() { replies <- streamed(s.host(1).addr.Callers, fmt.Sprintf("drain %d", i), 60) }()
+		go func() { replies <- checkStream(s.host(1).addr.Callers, fmt.Sprintf("drain %d", i), 60) }()
 	}
 	eventually(t, "streams are open", func() bool { return s.Engines[0].Total() == cap(replies) })
 	s.host(1).signal(syscall.SIGTERM)
@@ -266,11 +266,12 @@
 	assert.Equal(t, s.host(1).code, 0)
 }
 
-// TestSecondSignal ends a host at once: it says that it cut requests.
+// TestSecondSignal checks that a second signal ends a host immediately, with the exit
+// status for aborted requests.
 func TestSecondSignal(t *testing.T) {
 	s := startSystem(t, 2, deployment.Options{Engines: 1, Engine: emulator.EngineOptions{TokenInterval: 50 * time.Millisecond, Slots: 64}})
 	reply := make(chan error, 1)
-	go func() { reply <- streamed(s.host(1).addr.Callers, "cut", 10000) }()
+	go func() { reply <- checkStream(s.host(1).addr.Callers, "cut", 10000) }()
 	eventually(t, "the stream is open", func() bool { return s.Engines[0].Total() == 1 })
 	s.host(1).signal(syscall.SIGTERM)
 	time.Sleep(200 * time.Millisecond)
@@ -280,8 +281,9 @@
 	assert.Assert(t, <-reply != nil)
 }
 
-// streamed reads a stream and returns an error unless it is whole and its own.
-func streamed(address, prompt string, tokens int) error {
+// checkStream sends a prompt and returns an error unless the stream is complete and
+// belongs to that prompt.
+func checkStream(address, prompt string, tokens int) error {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, deployment.Model, prompt, tokens)
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions", strings.NewReader(body))
 	if err != nil {
@@ -298,7 +300,7 @@
 		return err
 	}
 	if !strings.HasSuffix(string(b), "data: [DONE]\n\n") {
-		return fmt.Errorf("not whole: %q", b[max(0, len(b)-200):])
+		return fmt.Errorf("incomplete stream: %q", b[max(0, len(b)-200):])
 	}
 	for _, token := range emulator.Answer(prompt, tokens) {
 		if !strings.Contains(string(b), fmt.Sprintf("%q", token)) {
@@ -308,20 +310,20 @@
 	return nil
 }
 
-// TestRestartWithLogDown kills a host while the log is down and starts it anew:
-// it serves what its peers have in force, and the revision does not go back.
+// TestRestartWithLogDown checks that a host restarted while the log is down serves
+// its peers' configuration, and that the revision does not decrease.
 func TestRestartWithLogDown(t *testing.T) {
 	s := startSystem(t, 3, deployment.Options{Engines: 1})
 	s.Log.SetFault(emulator.LogFault{Down: true})
 	s.host(2).signal(syscall.SIGKILL)
 	<-s.host(2).done
-	s.replace(2)
+	s.restart(2)
 	s.waitReady(2)
 	assert.Equal(t, s.dump(2).Revision, uint64(1))
-	assert.NilError(t, streamed(s.host(2).addr.Callers, "while the log is down", 3))
+	assert.NilError(t, checkStream(s.host(2).addr.Callers, "while the log is down", 3))
 }
 
-// TestCheckCommand prints every fault with its line.
+// TestCheckCommand checks that all faults are printed with their lines.
 func TestCheckCommand(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "settings.jsonc")
@@ -330,21 +332,20 @@
 	out, err := exec.Command(binary, "check", "--settings", path).CombinedOutput()
 	var exit *exec.ExitError
 	assert.Assert(t, err != nil)
-	assert.Assert(t, asExit(err, &exit) && exit.ExitCode() == 2)
+	assert.Assert(t, asExitError(err, &exit) && exit.ExitCode() == 2)
 	assert.Assert(t, strings.Contains(string(out), "line 4: /Hots: unknown name"), string(out))
 	assert.Assert(t, strings.Contains(string(out), "line 5: /AvailabilityZone: want string, got number"), string(out))
 	_, faults := loader.Parse([]byte(text))
 	assert.Equal(t, len(faults), 2)
 }
 
-func asExit(err error, to **exec.ExitError) bool {
+func asExitError(err error, to **exec.ExitError) bool {
 	e, ok := err.(*exec.ExitError)
 	*to = e
 	return ok
 }
 
-// TestReloadByHup: SIGHUP asks a host to read its settings again, and must not
-// end it.
+// TestReloadByHup checks that SIGHUP, which reloads the settings, does not end a host.
 func TestReloadByHup(t *testing.T) {
 	s := startSystem(t, 2, deployment.Options{Engines: 1})
 	for range 3 {
