--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -16,23 +16,22 @@
 // KindBatch is the kind of the entries of the reports' stream.
 const KindBatch folder.Kind = "Batch"
 
-// Outcome is what became of one request.
+// Outcome is the result of one request.
 type Outcome struct {
 	Workspace  string
 	Class      string
 	Reason     string // Reason is empty for answered requests.
 	Ran        string // Ran is No, Unknown or Yes.
-	OnTime     bool   // OnTime tells that the answer came within the deadline.
+	OnTime     bool   // OnTime reports whether the answer met the deadline.
 	FirstToken time.Duration
 	Took       time.Duration
 	Prompt     int // Prompt is the number of prompt tokens.
-	Cached     int // Cached is the number of prompt tokens that were not computed.
+	Cached     int // Cached is the number of prompt tokens read from the KV cache.
 	Tokens     int
 	Once       *OnceLine // Once is set for requests that may run only once.
 }
 
-// OnceLine is the line that a report keeps for each request that may run only
-// once.
+// OnceLine is a report's record of one request that may run only once.
 type OnceLine struct {
 	RequestID string
 	Workspace string
@@ -42,21 +41,21 @@
 	At        time.Time
 }
 
-// Counts are the numbers of one workspace and class. Times are counted in
-// buckets with the upper bounds Bounds.
+// Counts holds the counters of one workspace and class. Times are counted in
+// histogram buckets with the upper bounds Bounds.
 type Counts struct {
 	Answered   uint64
 	OnTime     uint64
 	Unknown    uint64            // Unknown counts requests that may have run.
-	Refused    map[string]uint64 // Refused counts by reason.
+	Refused    map[string]uint64 // Refused counts rejected requests by reason.
 	Prompt     uint64
 	Cached     uint64
 	Tokens     uint64
 	FirstToken []uint64 // FirstToken counts times to first token by bucket.
 }
 
-// Bounds are the upper bounds of the buckets of times; the last bucket has
-// none.
+// Bounds are the upper bounds of the histogram buckets; another bucket counts longer
+// times.
 var Bounds = []time.Duration{
 	5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 200 * time.Millisecond, 390 * time.Millisecond, 500 * time.Millisecond,
@@ -115,8 +114,9 @@
 	}
 }
 
-// Quantile returns an upper bound of a quantile of the time to first token, and
-// false if nothing was answered.
+// Quantile returns an upper bound of a quantile of the time to first token, or the
+// last of Bounds if the quantile exceeds it. It returns false if no request was
+// answered.
 func (c *Counts) Quantile(q float64) (time.Duration, bool) {
 	var total, sum uint64
 	for _, v := range c.FirstToken {
@@ -134,33 +134,32 @@
 	return Bounds[len(Bounds)-1], true
 }
 
-// Group names what is counted together.
+// Group identifies the requests that are counted together.
 type Group struct {
 	Workspace string
 	Class     string
 }
 
-// Line is one group's part of a batch.
+// Line holds the counters of one group.
 type Line struct {
 	Group
 	Counts
 }
 
-// Batch is what one host appends at once.
+// Batch is the entry that a host appends periodically.
 type Batch struct {
 	Number uint64 // Number counts the batches of a writer from 1.
 	From   time.Time
 	To     time.Time
 	Lines  []Line
 	Once   []OnceLine
-	Lost   uint64 // Lost counts outcomes that this host could not keep.
+	Lost   uint64 // Lost counts outcomes that this host could not buffer.
 }
 
-// maxOnce bounds the lines that wait for a flush.
-const maxOnce = 4096
+// maxPendingOnceLines limits the lines that are buffered until the next flush.
+const maxPendingOnceLines = 4096
 
-// Gatherer gathers outcomes for the next batch. It is not safe for concurrent
-// use.
+// Gatherer collects outcomes for the next batch. It is not safe for concurrent use.
 type Gatherer struct {
 	number uint64
 	from   time.Time
@@ -169,7 +168,7 @@
 	lost   uint64
 }
 
-// NewGatherer returns a gatherer that begins at now.
+// NewGatherer returns a gatherer whose first batch starts at now.
 func NewGatherer(now time.Time) *Gatherer {
 	return &Gatherer{from: now, groups: make(map[Group]*Counts)}
 }
@@ -186,15 +185,15 @@
 	if o.Once == nil {
 		return
 	}
-	if len(g.once) >= maxOnce {
+	if len(g.once) >= maxPendingOnceLines {
 		g.lost++
 		return
 	}
 	g.once = append(g.once, *o.Once)
 }
 
-// Flush returns the batch as an entry and begins the next one; false if there
-// is nothing to tell.
+// Flush returns the batch as an entry and starts the next one. It returns false if
+// the batch is empty.
 func (g *Gatherer) Flush(now time.Time) (folder.Entry, bool) {
 	if len(g.groups) == 0 && g.lost == 0 {
 		return folder.Entry{}, false
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestGapsAreShown loses a batch: the report says so and does not count it as
-// zero.
+// TestGapsAreShown checks that a lost batch is reported as a gap, and that a
+// duplicate batch is not counted.
 func TestGapsAreShown(t *testing.T) {
 	g := NewGatherer(start)
 	table := NewTable()
@@ -45,7 +45,7 @@
 	third := batch(t, g, Outcome{Workspace: "w", Class: "c", FirstToken: time.Second})
 	table.Apply(folder.Position{}, "a", first)
 	table.Apply(folder.Position{}, "a", third)
-	table.Apply(folder.Position{}, "a", third) // a second copy
+	table.Apply(folder.Position{}, "a", third) // duplicate
 	r := table.Report()
 	assert.Equal(t, len(r.Gaps), 1)
 	assert.Equal(t, r.Gaps[0].First, uint64(2))
@@ -57,8 +57,8 @@
 	assert.Equal(t, q, time.Second)
 }
 
-// TestReportIsACopy folds on after a report was taken: pages are rendered while
-// the control goroutine goes on.
+// TestReportIsACopy checks that later entries don't change a report, as another
+// goroutine may be reading it.
 func TestReportIsACopy(t *testing.T) {
 	g := NewGatherer(start)
 	table := NewTable()
--- a/reporter/table.go
+++ b/reporter/table.go
@@ -12,16 +12,16 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// maxOnceLines bounds the lines that a report keeps.
-const maxOnceLines = 10000
+// maxReportOnceLines limits the lines of a report; older ones are dropped.
+const maxReportOnceLines = 10000
 
-// writerState is what is known of one writer's batches.
+// writerState is the last batch of a writer.
 type writerState struct {
 	Number uint64
 	Seen   time.Time
 }
 
-// Gap is a run of batches that never arrived.
+// Gap is a range of lost batches.
 type Gap struct {
 	Writer string
 	First  uint64
@@ -29,7 +29,7 @@
 	Before time.Time // Before is the end of the first batch after the gap.
 }
 
-// Table is the fold of the reports' stream. It implements folder.State.
+// Table is the state built from the reports' stream. It implements folder.State.
 type Table struct {
 	image tableImage
 }
@@ -43,7 +43,7 @@
 	Lost    uint64
 }
 
-// NewTable returns an empty report.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{image: tableImage{Writers: make(map[string]writerState)}} }
 
 // Apply implements folder.State.
@@ -64,17 +64,17 @@
 		t.image.Since = b.From
 	}
 	for _, l := range b.Lines {
-		t.group(l.Group).add(l.Counts)
+		t.counts(l.Group).add(l.Counts)
 	}
 	t.image.Lost += b.Lost
 	t.image.Once = append(t.image.Once, b.Once...)
-	if n := len(t.image.Once) - maxOnceLines; n > 0 {
+	if n := len(t.image.Once) - maxReportOnceLines; n > 0 {
 		t.image.Once = append([]OnceLine(nil), t.image.Once[n:]...)
 	}
 }
 
-// group returns the counts of a group, which are kept in order.
-func (t *Table) group(g Group) *Counts {
+// counts returns the counters of a group, inserting them in group order if missing.
+func (t *Table) counts(g Group) *Counts {
 	i := sort.Search(len(t.image.Groups), func(i int) bool { return !t.image.Groups[i].less(g) })
 	if i < len(t.image.Groups) && t.image.Groups[i].Group == g {
 		return &t.image.Groups[i].Counts
@@ -85,16 +85,16 @@
 	return &t.image.Groups[i].Counts
 }
 
-// Report is the state of a table at one time.
+// Report is a snapshot of a table.
 type Report struct {
 	Since time.Time
 	Rows  []Line
 	Gaps  []Gap
-	Once  []OnceLine // Once has the newest line last.
-	Lost  uint64     // Lost counts lines that no host could keep.
+	Once  []OnceLine // Once is ordered from oldest to newest.
+	Lost  uint64     // Lost counts lines that hosts could not buffer.
 }
 
-// Report returns a copy of the table's state, which shares nothing with it.
+// Report returns a deep copy of the table's state.
 func (t *Table) Report() Report {
 	rows := slices.Clone(t.image.Groups)
 	for i := range rows {
