--- a/scheduler/gate.go
+++ b/scheduler/gate.go
@@ -10,40 +10,40 @@
 	"time"
 )
 
-// Verdict tells how a wait ended.
-type Verdict string
+// EnterResult is the result of Gate.Enter.
+type EnterResult string
 
-// The verdicts.
+// The results.
 const (
-	Granted  Verdict = "Granted"
-	TooLate  Verdict = "TooLate"  // TooLate says that the deadline can no longer be met.
-	Canceled Verdict = "Canceled" // Canceled says that the caller went away.
+	Granted  EnterResult = "Granted"
+	TooLate  EnterResult = "TooLate"  // TooLate means that the deadline will be missed or the gate is closed.
+	Canceled EnterResult = "Canceled" // Canceled means that the context was canceled.
 )
 
-// Room reports whether a request may start now, when as many requests as granted
-// were let through and are not yet counted elsewhere.
-type Room func(it *Item, granted int) bool
+// AdmitFunc reports whether a request may start now. granted is the number of requests
+// that were granted but for which Started has not been called yet.
+type AdmitFunc func(it *Item, granted int) bool
 
-// Gate lets requests pass while there is room and queues the others. It is
+// Gate grants requests while there is capacity and queues the others. It is
 // safe for concurrent use.
 type Gate struct {
-	mu      sync.Mutex
-	room    Room
-	queue   Queue
-	granted int
-	closed  bool
-	waiting atomic.Int64 // waiting is the queue's length, for those who can't take the lock.
-	checked time.Time    // checked is when the times of waiting items were last looked at.
+	mu        sync.Mutex
+	admit     AdmitFunc
+	queue     Queue
+	granted   int
+	closed    bool
+	waiting   atomic.Int64 // waiting is the queue's length, readable without the lock.
+	lastCheck time.Time    // lastCheck is when Wake last checked the items' times.
 }
 
-// NewGate returns a gate. room is called with the gate's lock held.
-func NewGate(room Room) *Gate { return &Gate{room: room} }
+// NewGate returns a gate. admit is called with the gate's lock held.
+func NewGate(admit AdmitFunc) *Gate { return &Gate{admit: admit} }
 
-// Enter waits for room. After Granted the caller must call Started once, when
-// the request is counted where Room looks or has been given up.
-func (g *Gate) Enter(ctx context.Context, it *Item) Verdict {
+// Enter waits until the request is admitted. After Granted the caller must call
+// Started once, when admit counts the request itself or the request is abandoned.
+func (g *Gate) Enter(ctx context.Context, it *Item) EnterResult {
 	g.mu.Lock()
-	if g.queue.Len() == 0 && g.room(it, g.granted) {
+	if g.queue.Len() == 0 && g.admit(it, g.granted) {
 		g.granted++
 		g.mu.Unlock()
 		return Granted
@@ -52,14 +52,14 @@
 		g.mu.Unlock()
 		return TooLate
 	}
-	it.verdict = make(chan Verdict, 1)
+	it.result = make(chan EnterResult, 1)
 	g.queue.Push(it)
-	g.drain()
+	g.grantWaiting()
 	g.waiting.Store(int64(g.queue.Len()))
 	g.mu.Unlock()
 	select {
-	case v := <-it.verdict:
-		return v
+	case r := <-it.result:
+		return r
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
@@ -68,55 +68,56 @@
 		g.waiting.Store(int64(g.queue.Len()))
 		return Canceled
 	}
-	return <-it.verdict
+	return <-it.result
 }
 
-func (g *Gate) drain() {
+// grantWaiting grants waiting items until none can be admitted.
+func (g *Gate) grantWaiting() {
 	for {
-		it := g.queue.Pop(func(it *Item) bool { return g.room(it, g.granted) })
+		it := g.queue.Pop(func(it *Item) bool { return g.admit(it, g.granted) })
 		if it == nil {
 			return
 		}
 		g.granted++
-		it.verdict <- Granted
+		it.result <- Granted
 	}
 }
 
-// Started tells that a granted request is now counted elsewhere.
+// Started ends the counting of a granted request in the gate; see Enter.
 func (g *Gate) Started() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.granted--
 }
 
-// checkInterval is the least time between two looks at the times of all that wait: a
-// look at 1,000 takes some 20 µs, and room may be found hundreds of times a second.
+// checkInterval limits how often Wake checks the times of all waiting items, as it may be
+// called hundreds of times per second.
 const checkInterval = 10 * time.Millisecond
 
-// Wake looks for room again: after a request ended, a load report came or time
-// passed.
+// Wake grants waiting requests that can now be admitted. It is to be called after a
+// request ended, a load report arrived, and periodically.
 func (g *Gate) Wake(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now.Sub(g.checked) >= checkInterval {
-		g.checked = now
+	if now.Sub(g.lastCheck) >= checkInterval {
+		g.lastCheck = now
 		for _, it := range g.queue.Late(now) {
-			it.verdict <- TooLate
+			it.result <- TooLate
 		}
 		g.queue.Demote(now)
 	}
-	g.drain()
+	g.grantWaiting()
 	g.waiting.Store(int64(g.queue.Len()))
 }
 
-// Close turns away all that wait, and from now on whoever finds no room at once.
+// Close rejects all waiting requests with TooLate, and later ones that would have to wait.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
 	for _, it := range g.queue.find(func(*Item) bool { return true }) {
 		g.queue.Remove(it)
-		it.verdict <- TooLate
+		it.result <- TooLate
 	}
 	g.waiting.Store(0)
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -16,46 +16,47 @@
 	Rank            int // Rank is the class's urgency; 0 is the most urgent.
 	Workspace       string
 	WorkspaceWeight float64
-	Cost            float64   // Cost is the work that the request brings, in tokens.
-	Latest          time.Time // Latest is when a start would be too late for the deadline.
-	// Due is when a start would be too late for the objective; zero if there is none.
-	// From then on the item yields to those that can still be on time.
+	Cost            float64   // Cost is the work of the request, in tokens.
+	Latest          time.Time // Latest is the latest start that can meet the deadline.
+	// Due is the latest start that can meet the objective; zero if there is none.
+	// Items past it have a lower weight than those that can still meet theirs.
 	Due time.Time
-	// Begin starts the request if there is room for it and reports whether there was.
-	// It is for rooms that depend on more than class and rank, and may be nil.
+	// Begin starts the request if there is capacity, and reports whether it did. It is
+	// for admission by more than class and rank, and may be nil.
 	Begin func() bool
 
-	start   float64
-	flow    *flow
-	queued  bool
-	verdict chan Verdict
+	startTag float64
+	flow     *flow
+	queued   bool
+	result   chan EnterResult
 }
 
-// Queue holds waiting items. The zero value is empty and ready.
+// Queue holds waiting items. The zero value is an empty queue ready to use.
 type Queue struct {
-	classes map[string]*class
-	virtual float64
-	length  int
-	pops    uint64
+	classes     map[string]*class
+	virtualTime float64
+	length      int
+	pops        uint64
 }
 
 type class struct {
-	name    string
-	passed  uint64 // passed is the last Pop that found no room for the class.
-	weight  float64
-	rank    int
-	finish  float64
-	virtual float64
-	flows   map[string]*flow
-	heads   flowHeap
+	name        string
+	skippedPop  uint64 // skippedPop is the number of the last Pop that skipped the class.
+	weight      float64
+	rank        int
+	finishTag   float64
+	virtualTime float64
+	flows       map[string]*flow
+	backlogged  flowHeap // backlogged holds the flows with waiting items.
 }
 
+// flow holds the waiting items of one workspace in a class.
 type flow struct {
-	class  *class
-	name   string
-	finish float64
-	items  []*Item
-	index  int
+	class     *class
+	name      string
+	finishTag float64
+	items     []*Item
+	index     int // index is the flow's position in backlogged.
 }
 
 // Len returns the number of waiting items.
@@ -77,48 +78,48 @@
 		f = &flow{class: c, name: it.Workspace}
 		c.flows[it.Workspace] = f
 	}
-	it.start = max(c.virtual, f.finish)
-	f.finish = it.start + it.Cost/it.WorkspaceWeight
+	it.startTag = max(c.virtualTime, f.finishTag)
+	f.finishTag = it.startTag + it.Cost/it.WorkspaceWeight
 	it.flow = f
 	it.queued = true
 	f.items = append(f.items, it)
 	if len(f.items) == 1 {
-		heap.Push(&c.heads, f)
-		if len(c.heads) == 1 {
-			c.finish = max(c.finish, q.virtual)
+		heap.Push(&c.backlogged, f)
+		if len(c.backlogged) == 1 {
+			c.finishTag = max(c.finishTag, q.virtualTime)
 		}
 	}
 	q.length++
 }
 
-// Pop takes the next item for which room is true, and returns nil if there is none.
-// Classes are asked in their turn, each for its next item only: one that needs much room
-// is not passed by the rest of its class, or it would never find any.
-func (q *Queue) Pop(room func(it *Item) bool) *Item {
+// Pop removes and returns the next item for which admit is true, or nil if there is
+// none. Only the first item of each class is tried, so that smaller requests of its
+// class can't starve a large one.
+func (q *Queue) Pop(admit func(it *Item) bool) *Item {
 	q.pops++
 	for {
-		c := q.next()
+		c := q.nextClass()
 		if c == nil {
 			return nil
 		}
-		it := c.heads[0].items[0]
-		if !room(it) {
-			c.passed = q.pops
+		it := c.backlogged[0].items[0]
+		if !admit(it) {
+			c.skippedPop = q.pops
 			continue
 		}
-		q.virtual = max(q.virtual, c.finish)
-		c.finish += it.Cost / c.weight
-		c.virtual = it.start
-		q.take(c.heads[0], 0)
+		q.virtualTime = max(q.virtualTime, c.finishTag)
+		c.finishTag += it.Cost / c.weight
+		c.virtualTime = it.startTag
+		q.removeAt(c.backlogged[0], 0)
 		return it
 	}
 }
 
-// next returns the class whose turn it is among those that were not passed yet.
-func (q *Queue) next() *class {
+// nextClass returns the non-empty class with the lowest finish tag that this Pop has not skipped.
+func (q *Queue) nextClass() *class {
 	var best *class
 	for _, c := range q.classes {
-		if len(c.heads) > 0 && c.passed != q.pops && (best == nil || c.before(best)) {
+		if len(c.backlogged) > 0 && c.skippedPop != q.pops && (best == nil || c.before(best)) {
 			best = c
 		}
 	}
@@ -126,37 +127,37 @@
 }
 
 func (c *class) before(o *class) bool {
-	if c.finish != o.finish {
-		return c.finish < o.finish
+	if c.finishTag != o.finishTag {
+		return c.finishTag < o.finishTag
 	}
 	return c.name < o.name
 }
 
-// Remove takes an item out of the queue and reports whether it was in it.
+// Remove removes an item and reports whether it was in the queue.
 func (q *Queue) Remove(it *Item) bool {
 	if !it.queued {
 		return false
 	}
 	for i, o := range it.flow.items {
 		if o == it {
-			q.take(it.flow, i)
+			q.removeAt(it.flow, i)
 			return true
 		}
 	}
 	return false
 }
 
-// take removes item i of a flow.
-func (q *Queue) take(f *flow, i int) {
+// removeAt removes the i-th item of a flow.
+func (q *Queue) removeAt(f *flow, i int) {
 	f.items[i].queued = false
 	f.items = append(f.items[:i], f.items[i+1:]...)
 	q.length--
 	switch {
 	case len(f.items) == 0:
-		heap.Remove(&f.class.heads, f.index)
+		heap.Remove(&f.class.backlogged, f.index)
 		delete(f.class.flows, f.name)
 	case i == 0:
-		heap.Fix(&f.class.heads, f.index)
+		heap.Fix(&f.class.backlogged, f.index)
 	}
 }
 
@@ -169,27 +170,26 @@
 	return late
 }
 
-// lateWeight is the part of its weight that a class keeps for items past their objective.
-// An answer that is late is worth a fifth of one on time to the users; with the lesser
-// share late ones still go on while others wait.
-const lateWeight = 0.05
+// lateWeightFactor scales a class's weight for items past their objective. It is small, so that
+// these items yield to others, but not 0, so that they don't starve.
+const lateWeightFactor = 0.05
 
-// Demote moves items that can't be on time any more behind those that can: into a class
-// of their own with a small weight.
+// Demote moves items that can no longer meet their objective to a separate class with a
+// small weight.
 func (q *Queue) Demote(now time.Time) {
-	due := q.find(func(it *Item) bool { return !it.Due.IsZero() && now.After(it.Due) })
-	slices.SortFunc(due, func(a, b *Item) int { return a.Due.Compare(b.Due) })
-	for _, it := range due {
+	overdue := q.find(func(it *Item) bool { return !it.Due.IsZero() && now.After(it.Due) })
+	slices.SortFunc(overdue, func(a, b *Item) int { return a.Due.Compare(b.Due) })
+	for _, it := range overdue {
 		q.Remove(it)
 		it.Due = time.Time{}
-		it.Class += lateSuffix
-		it.ClassWeight *= lateWeight
+		it.Class += lateClassSuffix
+		it.ClassWeight *= lateWeightFactor
 		q.Push(it)
 	}
 }
 
-// lateSuffix names the class of items past their objective.
-const lateSuffix = " late"
+// lateClassSuffix is appended to the class of items past their objective.
+const lateClassSuffix = " late"
 
 // find returns the waiting items for which match is true.
 func (q *Queue) find(match func(it *Item) bool) []*Item {
@@ -206,11 +206,12 @@
 	return found
 }
 
+// flowHeap orders flows by the start tag of their first item.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 func (h flowHeap) Less(i, j int) bool {
-	a, b := h[i].items[0].start, h[j].items[0].start
+	a, b := h[i].items[0].startTag, h[j].items[0].startTag
 	if a != b {
 		return a < b
 	}
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -18,8 +18,8 @@
 
 func always(*Item) bool { return true }
 
-// TestBurstDelaysOnlyItself lets one workspace queue a hundred requests before
-// another queues one: that one is not behind them.
+// TestBurstDelaysOnlyItself checks that a workspace's request does not wait behind another
+// workspace's burst.
 func TestBurstDelaysOnlyItself(t *testing.T) {
 	var q Queue
 	for range 100 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestClassesShareByWeight counts what leaves a full queue.
+// TestClassesShareByWeight checks that classes with a backlog are served by weight.
 func TestClassesShareByWeight(t *testing.T) {
 	var q Queue
 	for range 200 {
@@ -49,8 +49,8 @@
 	assert.Assert(t, count["heavy"] >= 73 && count["heavy"] <= 77, "%v", count)
 }
 
-// TestRoomByRank leaves what has no room in the queue.
-func TestRoomByRank(t *testing.T) {
+// TestAdmissionByRank checks that items that can't be admitted stay in the queue.
+func TestAdmissionByRank(t *testing.T) {
 	var q Queue
 	q.Push(item("summary", 2, 1, "w"))
 	q.Push(item("alert", 0, 1, "w"))
@@ -60,8 +60,8 @@
 	assert.Equal(t, q.Len(), 1)
 }
 
-// TestLargeRequestIsNotPassedByItsClass: a request that needs more room than there is
-// keeps its place before the others of its class; other classes go on.
+// TestLargeRequestIsNotPassedByItsClass checks that a request that does not fit blocks the
+// others of its class, and no other class.
 func TestLargeRequestIsNotPassedByItsClass(t *testing.T) {
 	var q Queue
 	large := item("notes", 1, 1, "w")
@@ -75,8 +75,7 @@
 	assert.Assert(t, q.Pop(always) == large)
 }
 
-// TestLateYield: items past their objective go behind those that can still be on time,
-// and still get a small share.
+// TestLateYield checks that items past their objective get a small share, but don't starve.
 func TestLateYield(t *testing.T) {
 	var q Queue
 	for i := range 400 {
@@ -97,23 +96,24 @@
 	assert.Assert(t, late >= 5 && late <= 15, "%d of 190", late)
 }
 
-// TestClosedGate turns away who waits and who would have to, and lets others through.
+// TestClosedGate checks that a closed gate rejects waiting requests and those that would
+// have to wait, and grants the others.
 func TestClosedGate(t *testing.T) {
-	room := false
-	g := NewGate(func(*Item, int) bool { return room })
-	verdicts := make(chan Verdict)
-	go func() { verdicts <- g.Enter(t.Context(), item("c", 0, 1, "w")) }()
+	admit := false
+	g := NewGate(func(*Item, int) bool { return admit })
+	results := make(chan EnterResult)
+	go func() { results <- g.Enter(t.Context(), item("c", 0, 1, "w")) }()
 	for g.Waiting() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	g.Close()
-	assert.Equal(t, <-verdicts, TooLate)
+	assert.Equal(t, <-results, TooLate)
 	assert.Equal(t, g.Enter(t.Context(), item("c", 0, 1, "w")), TooLate)
-	room = true
+	admit = true
 	assert.Equal(t, g.Enter(t.Context(), item("c", 0, 1, "w")), Granted)
 }
 
-func TestLateAreTakenOut(t *testing.T) {
+func TestLateRemovesItems(t *testing.T) {
 	var q Queue
 	a, b := item("c", 0, 1, "w"), item("c", 0, 1, "w")
 	a.Latest = time.Unix(10, 0)
@@ -126,33 +126,33 @@
 	assert.Assert(t, !q.Remove(b))
 }
 
-// TestGateCountsWhatItGranted grants no more than there is room, although what
-// was granted is counted elsewhere only later.
-func TestGateCountsWhatItGranted(t *testing.T) {
+// TestGateCountsGranted checks that the gate counts granted requests until Started is
+// called.
+func TestGateCountsGranted(t *testing.T) {
 	started := 0
 	g := NewGate(func(_ *Item, granted int) bool { return started+granted < 2 })
 	ctx, cancel := context.WithCancel(t.Context())
 	assert.Equal(t, g.Enter(ctx, item("c", 0, 1, "w")), Granted)
 	assert.Equal(t, g.Enter(ctx, item("c", 0, 1, "w")), Granted)
-	verdicts := make(chan Verdict)
-	go func() { verdicts <- g.Enter(ctx, item("c", 0, 1, "w")) }()
+	results := make(chan EnterResult)
+	go func() { results <- g.Enter(ctx, item("c", 0, 1, "w")) }()
 	for g.Waiting() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	g.Wake(time.Unix(0, 0))
 	assert.Equal(t, g.Waiting(), 1)
-	g.Started() // given up without being counted
+	g.Started() // abandoned without being counted
 	g.Wake(time.Unix(0, 0))
-	assert.Equal(t, <-verdicts, Granted)
-	go func() { verdicts <- g.Enter(ctx, item("c", 0, 1, "w")) }()
+	assert.Equal(t, <-results, Granted)
+	go func() { results <- g.Enter(ctx, item("c", 0, 1, "w")) }()
 	for g.Waiting() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	assert.Equal(t, <-verdicts, Canceled)
+	assert.Equal(t, <-results, Canceled)
 }
 
-// BenchmarkQueue measures a push and a pop with many workspaces waiting.
+// BenchmarkQueue measures a pop and a push with many workspaces waiting.
 func BenchmarkQueue(b *testing.B) {
 	var q Queue
 	for i := range 4700 {
