--- a/caller/client.go
+++ b/caller/client.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package caller is a client of the system: it asks for the hosts' addresses,
-// keeps the answer for its time to live, goes to the next address when one does
-// not answer, and reads answers and streams.
+// Package caller is a client of the system. It looks up the hosts' addresses, caches
+// them for their time to live, and fails over to the next address if a host does not
+// respond.
 //
 // # Usage
 //
@@ -11,10 +11,9 @@
 //	resp, err := c.Do(ctx, caller.Request{Path: "/v1/completions", Body: body})
 //	defer resp.Body.Close()
 //
-// A request goes to another address only if it cannot have run: when no
-// connection was made, when the answer says so, or when it may be repeated. A
-// request with an idempotency key keeps its key, so it may always be tried
-// again.
+// A request whose Repeatable is false and that has no idempotency key is retried
+// only if no connection was made. Other requests are retried after any transport
+// error.
 package caller
 
 import (
@@ -31,12 +30,12 @@
 	"amaranthgate.example/amaranthgate/server"
 )
 
-// Options set up a client.
+// Options configures a client.
 type Options struct {
-	Seeds            []string // Seeds are addresses of any hosts, to ask first.
+	Seeds            []string // Seeds are host addresses for the first lookup.
 	Token            string
 	AvailabilityZone string
-	Transport        http.RoundTripper // Transport is http.DefaultTransport's kin if nil.
+	Transport        http.RoundTripper // Transport is optional.
 }
 
 // Client sends requests. It is safe for concurrent use.
@@ -46,10 +45,10 @@
 
 	mu        sync.Mutex
 	addresses []string
-	until     time.Time
+	expires   time.Time
 }
 
-// New returns a client that has asked nobody yet.
+// New returns a client. It looks up addresses at the first request.
 func New(opts Options) *Client {
 	if opts.Transport == nil {
 		opts.Transport = &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
@@ -57,24 +56,24 @@
 	return &Client{opts: opts, http: &http.Client{Transport: opts.Transport}}
 }
 
-// askTimeout bounds a question for addresses.
-const askTimeout = 2 * time.Second
+// addressTimeout limits the lookup at one seed address.
+const addressTimeout = 2 * time.Second
 
-// Addresses returns the hosts to use, the best first.
+// Addresses returns the addresses of the hosts to use, best first.
 func (c *Client) Addresses(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
-	kept, fresh := c.addresses, time.Now().Before(c.until)
+	cached, fresh := c.addresses, time.Now().Before(c.expires)
 	c.mu.Unlock()
 	if fresh {
-		return kept, nil
+		return cached, nil
 	}
-	last := errors.New("caller: no seeds")
-	for _, seed := range append(append([]string(nil), kept...), c.opts.Seeds...) {
-		ans, err := c.ask(ctx, seed)
+	lastErr := errors.New("caller: no seed addresses")
+	for _, seed := range append(append([]string(nil), cached...), c.opts.Seeds...) {
+		ans, err := c.fetchAddresses(ctx, seed)
 		if err != nil || len(ans.Addresses) == 0 {
-			last = errors.Wrapf(err, "caller: ask %s", seed)
+			lastErr = errors.Wrapf(err, "caller: get addresses from %s", seed)
 			if err == nil {
-				last = errors.Errorf("caller: %s knows no addresses yet", seed)
+				lastErr = errors.Errorf("caller: %s returned no addresses", seed)
 			}
 			continue
 		}
@@ -83,15 +82,15 @@
 			list[i] = a.Address
 		}
 		c.mu.Lock()
-		c.addresses, c.until = list, time.Now().Add(ans.TimeToLive.Std())
+		c.addresses, c.expires = list, time.Now().Add(ans.TimeToLive.Std())
 		c.mu.Unlock()
 		return list, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-func (c *Client) ask(ctx context.Context, address string) (server.AddressAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Client) fetchAddresses(ctx context.Context, address string) (server.AddressAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	var ans server.AddressAnswer
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/addresses?AvailabilityZone="+c.opts.AvailabilityZone, nil)
@@ -104,23 +103,23 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return ans, errors.Errorf("status %d", resp.StatusCode)
+		return ans, errors.Errorf("unexpected status %d", resp.StatusCode)
 	}
 	return ans, json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(&ans)
 }
 
-// Request is one request of a caller.
+// Request is a request to the system.
 type Request struct {
 	Method     string // Method is POST if empty.
 	Path       string
 	Body       []byte
 	Header     http.Header
-	Key        string // Key is the idempotency key, if any.
-	Repeatable *bool  // Repeatable overrides what the system takes by default.
+	Key        string // Key is an optional idempotency key.
+	Repeatable *bool  // Repeatable overrides the system's default.
 }
 
-// Do sends a request to the best address and goes on to the next ones as far
-// as that is safe. The caller must close the body of the response.
+// Do sends a request to the best address, and retries it at the next ones while
+// that is safe. The caller must close the body of the response.
 func (c *Client) Do(ctx context.Context, r Request) (*http.Response, error) {
 	list, err := c.Addresses(ctx)
 	if err != nil {
@@ -129,24 +128,23 @@
 	if r.Method == "" {
 		r.Method = http.MethodPost
 	}
-	last := errors.New("caller: no addresses")
+	lastErr := errors.New("caller: no addresses")
 	for i, address := range list {
 		resp, err := c.send(ctx, address, r, i == 0)
 		if err == nil {
 			return resp, nil
 		}
-		last = errors.Wrapf(err, "caller: %s", address)
-		c.forget(address)
-		if !c.safe(r, err) || ctx.Err() != nil {
+		lastErr = errors.Wrapf(err, "caller: request to %s", address)
+		c.dropAddress(address)
+		if !c.retryable(r, err) || ctx.Err() != nil {
 			break
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// safe reports whether a request whose answer failed to come may be sent
-// again.
-func (c *Client) safe(r Request, err error) bool {
+// retryable reports whether a request that failed with err may be sent again.
+func (c *Client) retryable(r Request, err error) bool {
 	if r.Key != "" || r.Repeatable == nil || *r.Repeatable {
 		return true
 	}
@@ -154,14 +152,14 @@
 	return errors.As(err, &notSent)
 }
 
-// notSentError says that no connection was made.
+// notSentError means that no connection was made.
 type notSentError struct{ error }
 
-// forget drops an address that did not answer; the next request asks again.
-func (c *Client) forget(address string) {
+// dropAddress removes an address that did not respond, and expires the cached list.
+func (c *Client) dropAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.expires = time.Time{}
 	for i, a := range c.addresses {
 		if a == address {
 			c.addresses = append(append([]string(nil), c.addresses[:i]...), c.addresses[i+1:]...)
@@ -192,7 +190,7 @@
 		req.Header.Set(server.HeaderRepeatable, boolText(*r.Repeatable))
 	}
 	connected := false
-	req = req.WithContext(withConnected(req.Context(), &connected))
+	req = req.WithContext(traceConnection(req.Context(), &connected))
 	resp, err := c.http.Do(req)
 	if err != nil && !connected {
 		return nil, notSentError{err}
--- a/caller/trace.go
+++ b/caller/trace.go
@@ -8,8 +8,8 @@
 	"net/http/httptrace"
 )
 
-// withConnected notes in connected that a connection was made.
-func withConnected(ctx context.Context, connected *bool) context.Context {
+// traceConnection returns a context that sets connected when a connection is made.
+func traceConnection(ctx context.Context, connected *bool) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { *connected = true },
 	})
