--- a/emulator/batch.go
+++ b/emulator/batch.go
@@ -9,22 +9,22 @@
 	"sync"
 )
 
-// batch admits a bounded number of requests at once; the others wait by
-// priority, then in order of arrival.
+// batch bounds the number of running requests. The others wait in order of
+// priority, then of arrival.
 type batch struct {
 	slots int
 
-	mu      sync.Mutex
-	running int
-	seq     uint64
-	waiting waitHeap
-	tokens  int
+	mu            sync.Mutex
+	running       int
+	seq           uint64
+	waiting       waitHeap
+	waitingTokens int // prompt tokens of the waiting requests
 }
 
 type waiter struct {
 	priority int
 	seq      uint64
-	index    int
+	index    int // position in the heap; -1 once removed
 	tokens   int
 	ready    chan struct{}
 }
@@ -34,51 +34,54 @@
 func (b *batch) counts() (running, waiting, tokens int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.running, len(b.waiting), b.tokens
+	return b.running, len(b.waiting), b.waitingTokens
 }
 
-// enter waits for a slot. It reports false if ctx ended first.
-func (b *batch) enter(ctx context.Context, priority, tokens int) (leave func(), ok bool) {
+// acquire waits for a slot and returns the function that releases it. It
+// returns false if ctx ends first.
+func (b *batch) acquire(ctx context.Context, priority, tokens int) (release func(), ok bool) {
 	b.mu.Lock()
 	if b.running < b.slots {
 		b.running++
 		b.mu.Unlock()
-		return b.leave, true
+		return b.release, true
 	}
 	b.seq++
 	w := &waiter{priority: priority, seq: b.seq, tokens: tokens, ready: make(chan struct{})}
 	heap.Push(&b.waiting, w)
-	b.tokens += tokens
+	b.waitingTokens += tokens
 	b.mu.Unlock()
 	select {
 	case <-w.ready:
-		return b.leave, true
+		return b.release, true
 	case <-ctx.Done():
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if w.index < 0 { // admitted meanwhile
-		b.release()
+	if w.index < 0 { // admitted before ctx ended; pass the slot on
+		b.releaseLocked()
 		return nil, false
 	}
 	heap.Remove(&b.waiting, w.index)
-	b.tokens -= w.tokens
+	b.waitingTokens -= w.tokens
 	return nil, false
 }
 
-func (b *batch) leave() {
+func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.release()
+	b.releaseLocked()
 }
 
-func (b *batch) release() {
+// releaseLocked hands a slot to the first waiting request, if there is one.
+// b.mu must be held.
+func (b *batch) releaseLocked() {
 	if len(b.waiting) == 0 {
 		b.running--
 		return
 	}
 	w := heap.Pop(&b.waiting).(*waiter)
-	b.tokens -= w.tokens
+	b.waitingTokens -= w.tokens
 	close(w.ready)
 }
 
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -13,8 +13,8 @@
 	"amaranthgate.example/amaranthgate/keeper"
 )
 
-// maxEvents is the number of cache events that an engine remembers.
-const maxEvents = 4096
+// maxCacheEvents is the number of recent cache events that an engine keeps.
+const maxCacheEvents = 4096
 
 type keptState string
 
@@ -31,64 +31,71 @@
 	parent     string
 }
 
-// event returns what is said of a segment.
-func (k keptSegment) event(name string) wire.CacheEvent {
-	return wire.CacheEvent{Kind: wire.SegmentSealed, Block: name, Generation: k.generation, Blocks: len(k.blocks), From: k.from, Parent: k.parent}
+// sealedEvent returns the event that reports the segment as sealed.
+func (k keptSegment) sealedEvent(name string) wire.CacheEvent {
+	return wire.CacheEvent{
+		Kind: wire.SegmentSealed, Block: name, Generation: k.generation,
+		Blocks: len(k.blocks), From: k.from, Parent: k.parent,
+	}
 }
 
 // cache is an engine's prefix cache in accelerator memory and its store of
-// kept segments.
+// kept segments. A segment is a run of blocks named by its last block.
 type cache struct {
-	size int
+	capacity int
 
-	mu       sync.Mutex
-	blocks   map[string]*list.Element
-	order    *list.List // order has the most recently used block first.
-	kept     map[string]keptSegment
-	nextGen  uint64
-	bad      int
-	events   []wire.CacheEvent
-	sequence uint64
+	mu           sync.Mutex
+	blocks       map[string]*list.Element
+	lru          *list.List // block names, the most recently used first
+	kept         map[string]keptSegment
+	nextGen      uint64
+	badReadCount int
+	events       []wire.CacheEvent
+	sequence     uint64
 }
 
-func newCache(size int) *cache {
-	return &cache{size: size, blocks: make(map[string]*list.Element), order: list.New(), kept: make(map[string]keptSegment)}
+func newCache(capacity int) *cache {
+	return &cache{
+		capacity: capacity, blocks: make(map[string]*list.Element),
+		lru: list.New(), kept: make(map[string]keptSegment),
+	}
 }
 
-type cacheUse struct {
-	hit      int // hit is the number of leading blocks in accelerator memory.
-	restored int // restored is the number of blocks imported after them.
+type cacheAccess struct {
+	hitBlocks      int // leading blocks found in accelerator memory
+	restoredBlocks int // blocks after them that kept segments supply
 }
 
-// use looks up a prompt's blocks, imports kept segments and caches the rest.
-func (c *cache) use(chain keeper.Chain, restore []wire.SegmentRef) cacheUse {
+// access looks up a prompt's blocks in accelerator memory and in the given
+// kept segments, and caches all of them.
+func (c *cache) access(chain keeper.Chain, restore []wire.SegmentRef) cacheAccess {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	names := make([]string, chain.Len())
 	for i := range names {
 		names[i] = chain.Wire(i)
 	}
-	var u cacheUse
-	for u.hit < len(names) && c.blocks[names[u.hit]] != nil {
-		u.hit++
+	var u cacheAccess
+	for u.hitBlocks < len(names) && c.blocks[names[u.hitBlocks]] != nil {
+		u.hitBlocks++
 	}
-	u.restored = c.restore(names, u.hit, restore)
-	for i := len(names) - 1; i >= 0; i-- { // tails are the first to be evicted
+	u.restoredBlocks = c.restorable(names, u.hitBlocks, restore)
+	for i := len(names) - 1; i >= 0; i-- { // later blocks are evicted before earlier ones
 		c.touch(names[i])
 	}
-	c.shrink()
+	c.evict()
 	return u
 }
 
-// restore returns how many blocks beyond the first hit ones the segments
-// bring. A reference to a segment that is freed, unsealed or of another
-// generation is a bad read.
-func (c *cache) restore(names []string, hit int, refs []wire.SegmentRef) int {
+// restorable returns how many blocks after the first hit ones the segments
+// supply. It counts a reference to a segment that is freed, not sealed or of
+// another generation as a bad read.
+func (c *cache) restorable(names []string, hit int, refs []wire.SegmentRef) int {
 	end := hit
 	for _, r := range refs {
 		k, found := c.kept[r.Name]
 		if !found || k.generation != r.Generation || k.state != keptSealed {
-			c.bad++
+			c.badReadCount++
 			break
 		}
 		for i := end; i < len(names); i++ {
@@ -103,18 +110,18 @@
 
 func (c *cache) touch(name string) {
 	if e := c.blocks[name]; e != nil {
-		c.order.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		return
 	}
-	c.blocks[name] = c.order.PushFront(name)
+	c.blocks[name] = c.lru.PushFront(name)
 	c.emit(wire.CacheEvent{Kind: wire.BlockCached, Block: name})
 }
 
-func (c *cache) shrink() {
-	for len(c.blocks) > c.size {
-		last := c.order.Back()
+func (c *cache) evict() {
+	for len(c.blocks) > c.capacity {
+		last := c.lru.Back()
 		old := last.Value.(string)
-		c.order.Remove(last)
+		c.lru.Remove(last)
 		delete(c.blocks, old)
 		c.emit(wire.CacheEvent{Kind: wire.BlockEvicted, Block: old})
 	}
@@ -124,14 +131,14 @@
 	c.sequence++
 	e.Sequence = c.sequence
 	c.events = append(c.events, e)
-	if len(c.events) > maxEvents {
-		c.events = c.events[len(c.events)-maxEvents:]
+	if len(c.events) > maxCacheEvents {
+		c.events = c.events[len(c.events)-maxCacheEvents:]
 	}
 }
 
-// export starts to copy a run of cached blocks to the store as one segment,
-// named by its last block, and returns that name. It returns "" when a block
-// is not cached or the segment is kept already.
+// export starts to copy a run of cached blocks to the store as one segment and
+// returns its name. It returns "" if a block is not cached or the segment
+// exists already.
 func (c *cache) export(ord wire.Order) string {
 	blocks := ord.Blocks
 	c.mu.Lock()
@@ -149,7 +156,9 @@
 		return ""
 	}
 	c.nextGen++
-	c.kept[name] = keptSegment{generation: c.nextGen, state: keptWriting, blocks: blocks, from: ord.From, parent: ord.Parent}
+	c.kept[name] = keptSegment{
+		generation: c.nextGen, state: keptWriting, blocks: blocks, from: ord.From, parent: ord.Parent,
+	}
 	return name
 }
 
@@ -162,10 +171,10 @@
 	}
 	k.state = keptSealed
 	c.kept[name] = k
-	c.emit(k.event(name))
+	c.emit(k.sealedEvent(name))
 }
 
-// free drops kept segments of the generations named.
+// free deletes kept segments, except those of another generation.
 func (c *cache) free(refs []wire.SegmentRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,25 +186,25 @@
 	}
 }
 
-// load copies kept segments back into accelerator memory.
-func (c *cache) load(refs []wire.SegmentRef) {
+// importSegments copies kept segments into accelerator memory.
+func (c *cache) importSegments(refs []wire.SegmentRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range refs {
 		k := c.kept[r.Name]
 		if k.generation != r.Generation || k.state != keptSealed {
-			c.bad++
+			c.badReadCount++
 			return
 		}
 		for i := len(k.blocks) - 1; i >= 0; i-- {
 			c.touch(k.blocks[i])
 		}
 	}
-	c.shrink()
+	c.evict()
 }
 
-// loadSize returns the number of blocks that an order to import moves.
-func (c *cache) loadSize(refs []wire.SegmentRef) int {
+// importSize returns the number of blocks of kept segments.
+func (c *cache) importSize(refs []wire.SegmentRef) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -205,19 +214,19 @@
 	return n
 }
 
-// clear empties the accelerator memory, as a swap of weights does.
+// clear empties the accelerator memory, as a change of weights does.
 func (c *cache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.blocks = make(map[string]*list.Element)
-	c.order.Init()
+	c.lru.Init()
 	c.emit(wire.CacheEvent{Kind: wire.CacheCleared})
 }
 
 func (c *cache) badReads() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.bad
+	return c.badReadCount
 }
 
 func (c *cache) serveEvents(incarnation uint64) http.HandlerFunc {
@@ -245,7 +254,7 @@
 		a := wire.KeptSegments{Incarnation: incarnation, Next: c.sequence + 1}
 		for name, k := range c.kept {
 			if k.state == keptSealed {
-				a.Segments = append(a.Segments, k.event(name))
+				a.Segments = append(a.Segments, k.sealedEvent(name))
 			}
 		}
 		c.mu.Unlock()
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package emulator holds small stand-ins for what the system meets: the
-// platform's log and host list, model engines and plain services. They speak
-// the same protocols over HTTP as the real ones, keep everything in memory and
-// can be told to fail.
+// Package emulator implements in-memory emulations of the platform's log and
+// host list, of model engines and of plain services. They serve the same HTTP
+// protocols as the real ones and support fault injection.
 //
 // # Usage
 //
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -22,22 +22,22 @@
 	maxPromptBytes = 16 << 20
 )
 
-// EngineOptions set up an engine.
+// EngineOptions configure an Engine.
 type EngineOptions struct {
 	Name          string
 	Models        []wire.LoadedModel
-	Slots         int           // Slots is the number of requests in a batch; default 8.
-	PrefillRate   float64       // PrefillRate is in tokens per second; 0 takes no time.
-	TokenInterval time.Duration // TokenInterval is the time between tokens.
-	CacheBlocks   int           // CacheBlocks is the size of the prefix cache; default 4096.
-	LinkRate      float64       // LinkRate is of the link to the store, in blocks per second; 0 takes no time.
-	LoadTime      time.Duration // LoadTime is the time to load weights.
-	ChecksFencing bool
+	Slots         int     // maximum number of running requests; default 8
+	PrefillRate   float64 // tokens per second; 0 takes no time
+	TokenInterval time.Duration
+	CacheBlocks   int           // capacity of the prefix cache; default 4096
+	LinkRate      float64       // blocks per second of the link to the store; 0 takes no time
+	LoadTime      time.Duration // time to load the weights of a model version
+	ChecksFencing bool          // reject orders with a fencing number below the highest one seen
 }
 
-// Engine is a stand-in for a model engine. Its text is a function of the
-// prompt, so that a caller can tell whether an answer is its own and whole,
-// and a stream that is continued from its text so far goes on as before.
+// Engine emulates a model engine. The generated text is a function of the
+// prompt: a caller can verify an answer, and a stream that is resumed with its
+// text so far appended to the prompt continues unchanged.
 type Engine struct {
 	opts        EngineOptions
 	incarnation uint64
@@ -48,24 +48,24 @@
 	leaving atomic.Bool
 	fault   atomic.Pointer[EngineFault]
 
-	mu     sync.Mutex
-	record map[string]int // record counts executions by nonce.
-	total  int
+	mu         sync.Mutex
+	executions map[string]int // number of executions by nonce
+	total      int
 }
 
-// EngineFault is what goes wrong at an upstream now.
+// EngineFault selects the faults that an upstream injects.
 type EngineFault struct {
-	Down       bool          // Down refuses every call.
-	Slow       time.Duration // Slow delays the first byte.
-	CutAfter   int           // CutAfter cuts each stream after as many tokens.
-	Cross      bool          // Cross answers with another attempt's nonce.
-	NoMarker   bool          // NoMarker ends streams without their end marker.
-	LoseAnswer bool          // LoseAnswer runs the request and drops the connection.
-	Refuse     bool          // Refuse answers 503 and says that nothing ran.
-	StaleLoad  time.Duration // StaleLoad answers questions for load with an old report.
+	Down       bool          // close every connection without an answer
+	Slow       time.Duration // delay of the first byte
+	CutAfter   int           // number of tokens after which each stream is cut; 0 for never
+	Cross      bool          // answer with the nonce of another attempt
+	NoMarker   bool          // end streams without the end marker
+	LoseAnswer bool          // run the request, then drop the connection
+	Refuse     bool          // answer 503 and report that the request did not run
+	StaleLoad  time.Duration // has no effect
 }
 
-var engineIncarnation atomic.Uint64
+var incarnationCounter atomic.Uint64
 
 // NewEngine returns an engine with empty caches.
 func NewEngine(opts EngineOptions) *Engine {
@@ -77,27 +77,27 @@
 	}
 	e := &Engine{
 		opts:        opts,
-		incarnation: uint64(time.Now().UnixNano()) + engineIncarnation.Add(1),
+		incarnation: uint64(time.Now().UnixNano()) + incarnationCounter.Add(1),
 		cache:       newCache(opts.CacheBlocks),
 		batch:       newBatch(opts.Slots),
-		record:      make(map[string]int),
+		executions:  make(map[string]int),
 	}
 	e.orders = newOrders(opts, e.cache)
 	e.fault.Store(&EngineFault{})
 	return e
 }
 
-// SetFault replaces what goes wrong.
+// SetFault replaces the injected faults.
 func (e *Engine) SetFault(f EngineFault) { e.fault.Store(&f) }
 
-// SetLeaving tells whether the engine says that it is leaving.
+// SetLeaving sets whether the engine reports the state Leaving.
 func (e *Engine) SetLeaving(leaving bool) { e.leaving.Store(leaving) }
 
-// Executions returns how often the attempt with a nonce ran.
+// Executions returns how many times the attempt with a nonce ran.
 func (e *Engine) Executions(nonce string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.record[nonce]
+	return e.executions[nonce]
 }
 
 // Total returns the number of requests that ran.
@@ -107,13 +107,15 @@
 	return e.total
 }
 
-// BadReads returns how many reads met a block that was freed or not sealed.
+// BadReads returns the number of reads of segments that were freed, not sealed
+// or of another generation.
 func (e *Engine) BadReads() int { return e.cache.badReads() }
 
-// ClearCache drops all that is in accelerator memory.
+// ClearCache evicts all blocks from accelerator memory.
 func (e *Engine) ClearCache() { e.cache.clear() }
 
-// PeakLoads returns the largest number of versions that loaded at once.
+// PeakLoads returns the largest number of model versions that were loading at
+// the same time.
 func (e *Engine) PeakLoads() int { return e.orders.peakLoads() }
 
 // Models returns the model versions that are loaded or loading.
@@ -137,10 +139,10 @@
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, e.load())
+	writeJSON(w, e.loadReport())
 }
 
-func (e *Engine) load() wire.LoadReport {
+func (e *Engine) loadReport() wire.LoadReport {
 	running, waiting, tokens := e.batch.counts()
 	state := wire.LoadLive
 	if e.leaving.Load() {
@@ -167,14 +169,13 @@
 	return out
 }
 
-// maxCachedAnswer bounds the part of an answer that is cached behind its prompt.
-const maxCachedAnswer = 16 << 10
+// maxCachedAnswerBytes bounds the part of an answer that is cached after its prompt.
+const maxCachedAnswerBytes = 16 << 10
 
-// letters are those of generated tokens, which are as long as a token of a
-// prompt.
+// letters is the alphabet of generated tokens.
 const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
 
-// generator makes each token from the whole text before it.
+// generator derives each token from a hash of all text before it.
 type generator struct {
 	hash *xxhash.Digest
 	text strings.Builder
@@ -190,7 +191,7 @@
 	sum := g.hash.Sum64()
 	t := string([]byte{letters[sum&63], letters[sum>>6&63], letters[sum>>12&63], ' '})
 	_, _ = g.hash.WriteString(t)
-	if g.text.Len() < maxCachedAnswer {
+	if g.text.Len() < maxCachedAnswerBytes {
 		g.text.WriteString(t)
 	}
 	return t
@@ -219,13 +220,15 @@
 	if req.MaxTokens <= 0 {
 		req.MaxTokens = defaultTokens
 	}
-	run := &run{engine: e, req: &req, fault: f, nonce: r.Header.Get(wire.HeaderNonce), version: version, chat: chat}
-	run.serve(w, r)
+	x := &execution{
+		engine: e, req: &req, fault: f, nonce: r.Header.Get(wire.HeaderNonce), version: version, chat: chat,
+	}
+	x.serve(w, r)
 }
 
-func (e *Engine) note(nonce string) {
+func (e *Engine) countExecution(nonce string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record[nonce]++
+	e.executions[nonce]++
 	e.total++
 }
--- a/emulator/hostlist.go
+++ b/emulator/hostlist.go
@@ -11,8 +11,8 @@
 	"amaranthgate.example/amaranthgate/connector"
 )
 
-// HostList is a stand-in for the platform's host list. What it shows lags
-// behind what it was told.
+// HostList emulates the platform's host list. Changes become visible after a
+// lag.
 type HostList struct {
 	lag time.Duration
 	now func() time.Time
@@ -28,7 +28,7 @@
 	entry    connector.ListedHost
 }
 
-// NewHostList returns an empty list with a lag.
+// NewHostList returns an empty list whose changes become visible after lag.
 func NewHostList(lag time.Duration) *HostList { return &HostList{lag: lag, now: time.Now} }
 
 // PutHost adds or replaces one of the system's hosts.
@@ -37,7 +37,7 @@
 // PutUpstream adds or replaces the host of an upstream.
 func (h *HostList) PutUpstream(e connector.ListedHost) { h.put(listChange{entry: e, upstream: true}) }
 
-// RemoveHost takes one of the system's hosts off the list.
+// RemoveHost removes one of the system's hosts.
 func (h *HostList) RemoveHost(name string) {
 	h.put(listChange{entry: connector.ListedHost{Host: name}, removed: true})
 }
@@ -49,7 +49,7 @@
 	h.changes = append(h.changes, c)
 }
 
-// Answer returns what the list shows now.
+// Answer returns the visible state of the list.
 func (h *HostList) Answer() connector.HostListAnswer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -16,25 +16,25 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// maxRecordBytes bounds one append.
+// maxRecordBytes bounds the body of an append.
 const maxRecordBytes = 4 << 20
 
-// LogOptions set up a log.
+// LogOptions configure a Log.
 type LogOptions struct {
-	Retention time.Duration    // Retention is how long records are kept; 0 keeps them for ever.
-	Latency   time.Duration    // Latency is the time that an append takes.
-	Now       func() time.Time // Now is the log's clock; nil is the machine's.
+	Retention time.Duration    // 0 keeps records without limit
+	Latency   time.Duration    // duration of an append
+	Now       func() time.Time // default time.Now
 	Seed      uint64
 }
 
-// LogFault is what goes wrong at the log now.
+// LogFault selects the faults that the log injects.
 type LogFault struct {
-	Down        bool          // Down refuses every call.
-	Slow        time.Duration // Slow delays every call.
-	LoseAnswers float64       // LoseAnswers is the share of appends that take effect but are not answered.
+	Down        bool          // answer every call with 503
+	Slow        time.Duration // delay of every call
+	LoseAnswers float64       // fraction of appends that take effect but are not answered
 }
 
-// Log is a stand-in for the platform's append-only log.
+// Log emulates the platform's append-only log.
 type Log struct {
 	opts LogOptions
 
@@ -59,7 +59,7 @@
 	return &Log{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), streams: make(map[string]*stream)}
 }
 
-// SetFault replaces what goes wrong.
+// SetFault replaces the injected faults.
 func (l *Log) SetFault(f LogFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,7 @@
 	return l.appends
 }
 
-// Expire drops all records of a stream but the newest keep.
+// Expire drops all records of a stream except the newest keep ones.
 func (l *Log) Expire(name string, keep int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// Append adds a record as a client's call does, without faults.
+// Append adds a record and returns its offset. Injected faults don't apply.
 func (l *Log) Append(name string, body []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,8 +122,8 @@
 	s.records = s.records[n:]
 }
 
-// Page returns records from an offset on, and a channel that is closed when
-// there is more.
+// Page returns up to limit records from an offset on, and a channel that is
+// closed at the stream's next append.
 func (l *Log) Page(name string, from uint64, limit int) (folder.Page, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,8 +145,8 @@
 	return mux
 }
 
-// admit applies the present fault and reports whether the call goes on.
-func (l *Log) admit(w http.ResponseWriter, r *http.Request) (LogFault, bool) {
+// applyFault applies the injected faults and reports whether the call proceeds.
+func (l *Log) applyFault(w http.ResponseWriter, r *http.Request) (LogFault, bool) {
 	l.mu.Lock()
 	f := l.fault
 	l.mu.Unlock()
@@ -165,7 +165,7 @@
 }
 
 func (l *Log) serveAppend(w http.ResponseWriter, r *http.Request) {
-	f, ok := l.admit(w, r)
+	f, ok := l.applyFault(w, r)
 	if !ok {
 		return
 	}
@@ -188,7 +188,7 @@
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
-	if _, ok := l.admit(w, r); !ok {
+	if _, ok := l.applyFault(w, r); !ok {
 		return
 	}
 	q := r.URL.Query()
--- a/emulator/orders.go
+++ b/emulator/orders.go
@@ -12,7 +12,7 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// orders carries out what an engine is ordered to do.
+// orders executes the orders that an engine receives.
 type orders struct {
 	opts  EngineOptions
 	cache *cache
@@ -22,8 +22,9 @@
 	role    string
 	models  []wire.LoadedModel
 	loading int
-	peak    int
-	log     []wire.Order
+	peak    int // largest value of loading
+
+	accepted []wire.Order
 }
 
 func newOrders(opts EngineOptions, c *cache) *orders {
@@ -34,7 +35,7 @@
 func (e *Engine) Orders() []wire.Order {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
-	return append([]wire.Order(nil), e.orders.log...)
+	return append([]wire.Order(nil), e.orders.accepted...)
 }
 
 func (o *orders) peakLoads() int {
@@ -55,8 +56,8 @@
 	return o.role
 }
 
-// version returns the loaded version that answers a request for a model. An
-// empty want takes the newest.
+// version returns the loaded version that serves a request for a model. An
+// empty want selects the newest.
 func (o *orders) version(model, want string) (string, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -85,7 +86,7 @@
 		return wire.OrderAnswer{Fencing: o.fencing, Reason: "an order with a higher fencing number was seen"}
 	}
 	o.fencing = max(o.fencing, ord.Fencing)
-	o.log = append(o.log, ord)
+	o.accepted = append(o.accepted, ord)
 	switch ord.Kind {
 	case wire.OrderLoad:
 		o.load(ord)
@@ -93,10 +94,10 @@
 		o.unload(ord)
 	case wire.OrderExport:
 		if name := o.cache.export(ord); name != "" {
-			o.later(o.linkTime(len(ord.Blocks)), func() { o.cache.seal(name) })
+			o.runAfter(o.linkTime(len(ord.Blocks)), func() { o.cache.seal(name) })
 		}
 	case wire.OrderImport:
-		o.later(o.linkTime(o.cache.loadSize(ord.Segments)), func() { o.cache.load(ord.Segments) })
+		o.runAfter(o.linkTime(o.cache.importSize(ord.Segments)), func() { o.cache.importSegments(ord.Segments) })
 	case wire.OrderRole:
 		o.role = ord.Role
 	case wire.OrderFree:
@@ -114,7 +115,8 @@
 	return time.Duration(float64(blocks) / o.opts.LinkRate * float64(time.Second))
 }
 
-func (o *orders) later(d time.Duration, f func()) {
+// runAfter calls f after d, or at once if d is not positive.
+func (o *orders) runAfter(d time.Duration, f func()) {
 	if d <= 0 {
 		f()
 		return
@@ -122,7 +124,7 @@
 	time.AfterFunc(d, f)
 }
 
-func (o *orders) find(ord wire.Order) int {
+func (o *orders) indexOf(ord wire.Order) int {
 	for i, m := range o.models {
 		if m.Name == ord.Model && m.Version == ord.Version && m.Adapter == ord.Adapter {
 			return i
@@ -132,24 +134,26 @@
 }
 
 func (o *orders) load(ord wire.Order) {
-	if o.find(ord) >= 0 {
+	if o.indexOf(ord) >= 0 {
 		return
 	}
-	o.models = append(o.models, wire.LoadedModel{Name: ord.Model, Version: ord.Version, Adapter: ord.Adapter, Loading: true})
+	o.models = append(o.models, wire.LoadedModel{
+		Name: ord.Model, Version: ord.Version, Adapter: ord.Adapter, Loading: true,
+	})
 	o.loading++
 	o.peak = max(o.peak, o.loading)
 	time.AfterFunc(o.opts.LoadTime, func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.loading--
-		if i := o.find(ord); i >= 0 {
+		if i := o.indexOf(ord); i >= 0 {
 			o.models[i].Loading = false
 		}
 	})
 }
 
 func (o *orders) unload(ord wire.Order) {
-	if i := o.find(ord); i >= 0 {
+	if i := o.indexOf(ord); i >= 0 {
 		o.models = append(o.models[:i], o.models[i+1:]...)
 	}
 }
--- a/emulator/platform.go
+++ b/emulator/platform.go
@@ -10,9 +10,9 @@
 	"amaranthgate.example/amaranthgate/connector"
 )
 
-// PlatformHandler serves log and host list at one address, with ways to change
-// them from outside: PUT and DELETE /v1/hosts/{name}, PUT /v1/upstreams/{name}
-// and PUT /faults/log.
+// PlatformHandler serves the log and the host list at one address. It also
+// serves their administration: PUT and DELETE /v1/hosts/{name}, PUT
+// /v1/upstreams/{name} and PUT /faults/log.
 func PlatformHandler(log *Log, list *HostList) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/v1/streams/", log.Handler())
--- a/emulator/run.go
+++ b/emulator/run.go
@@ -14,8 +14,8 @@
 	"amaranthgate.example/amaranthgate/keeper"
 )
 
-// run is one request at an engine.
-type run struct {
+// execution is the execution of one request at an engine.
+type execution struct {
 	engine  *Engine
 	req     *wire.CompletionRequest
 	fault   *EngineFault
@@ -25,16 +25,16 @@
 	usage   wire.Usage
 }
 
-func (r *run) serve(w http.ResponseWriter, hr *http.Request) {
+func (r *execution) serve(w http.ResponseWriter, hr *http.Request) {
 	prompt := r.req.PromptText()
 	tokens := (len(prompt) + keeper.BytesPerToken - 1) / keeper.BytesPerToken
 	arrived := time.Now()
-	leave, ok := r.engine.batch.enter(hr.Context(), r.req.Priority, tokens)
+	release, ok := r.engine.batch.acquire(hr.Context(), r.req.Priority, tokens)
 	if !ok {
 		return
 	}
-	defer leave()
-	r.engine.note(r.nonce)
+	defer release()
+	r.engine.countExecution(r.nonce)
 	if within := time.Duration(r.req.RestoreWithin) * time.Millisecond; time.Since(arrived) > within {
 		r.req.Restore = nil
 	}
@@ -49,24 +49,24 @@
 	w.Header().Set(wire.HeaderNonce, id)
 	w.Header().Set(wire.HeaderVersion, r.version)
 	g := newGenerator(prompt)
-	defer func() { r.engine.cache.use(keeper.NewChain(r.req.CacheSalt, prompt+g.text.String()), nil) }()
+	defer func() { r.engine.cache.access(keeper.NewChain(r.req.CacheSalt, prompt+g.text.String()), nil) }()
 	if r.req.Stream {
-		r.stream(w, hr, id, g)
+		r.respondStream(w, hr, id, g)
 		return
 	}
-	r.whole(w, hr, id, g)
+	r.respond(w, hr, id, g)
 }
 
-// prefill takes the time to import kept blocks and to compute the rest of the
-// prompt, and puts its blocks into the cache.
-func (r *run) prefill(ctx context.Context, prompt string, tokens int) {
+// prefill caches the prompt's blocks and waits for the time to import kept
+// blocks and to compute the others.
+func (r *execution) prefill(ctx context.Context, prompt string, tokens int) {
 	chain := keeper.NewChain(r.req.CacheSalt, prompt)
-	cached := r.engine.cache.use(chain, r.req.Restore)
+	cached := r.engine.cache.access(chain, r.req.Restore)
 	wait := r.fault.Slow
 	if rate := r.engine.opts.LinkRate; rate > 0 {
-		wait += time.Duration(float64(cached.restored) / rate * float64(time.Second))
+		wait += time.Duration(float64(cached.restoredBlocks) / rate * float64(time.Second))
 	}
-	reused := (cached.hit + cached.restored) * keeper.TokensPerBlock
+	reused := (cached.hitBlocks + cached.restoredBlocks) * keeper.TokensPerBlock
 	if rate := r.engine.opts.PrefillRate; rate > 0 {
 		wait += time.Duration(float64(tokens-reused) / rate * float64(time.Second))
 	}
@@ -75,14 +75,17 @@
 	sleep(ctx, wait)
 }
 
-func (r *run) whole(w http.ResponseWriter, hr *http.Request, id string, g *generator) {
+func (r *execution) respond(w http.ResponseWriter, hr *http.Request, id string, g *generator) {
 	var text strings.Builder
 	for range r.req.MaxTokens {
 		sleep(hr.Context(), r.engine.opts.TokenInterval)
 		text.WriteString(g.next())
 	}
 	stop := "stop"
-	c := wire.Chunk{ID: id, Object: r.object(false), Model: r.req.Model, Choices: []wire.Choice{{FinishReason: &stop}}, Usage: r.finalUsage(r.req.MaxTokens)}
+	c := wire.Chunk{
+		ID: id, Object: r.objectName(false), Model: r.req.Model,
+		Choices: []wire.Choice{{FinishReason: &stop}}, Usage: r.finalUsage(r.req.MaxTokens),
+	}
 	if r.chat {
 		c.Choices[0].Message = &wire.Message{Role: "assistant", Content: text.String()}
 	} else {
@@ -91,7 +94,7 @@
 	writeJSON(w, c)
 }
 
-func (r *run) stream(w http.ResponseWriter, hr *http.Request, id string, g *generator) {
+func (r *execution) respondStream(w http.ResponseWriter, hr *http.Request, id string, g *generator) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := http.NewResponseController(w)
 	for i := range r.req.MaxTokens {
@@ -105,15 +108,18 @@
 			_ = out.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		r.event(w, r.chunk(id, g.next()))
+		r.writeEvent(w, r.chunk(id, g.next()))
 		_ = out.Flush()
 	}
 	stop := "stop"
 	last := r.chunk(id, "")
 	last.Choices[0].FinishReason = &stop
-	r.event(w, last)
+	r.writeEvent(w, last)
 	if r.req.StreamOptions != nil && r.req.StreamOptions.IncludeUsage {
-		r.event(w, wire.Chunk{ID: id, Object: r.object(true), Model: r.req.Model, Choices: []wire.Choice{}, Usage: r.finalUsage(r.req.MaxTokens)})
+		r.writeEvent(w, wire.Chunk{
+			ID: id, Object: r.objectName(true), Model: r.req.Model,
+			Choices: []wire.Choice{}, Usage: r.finalUsage(r.req.MaxTokens),
+		})
 	}
 	if !r.fault.NoMarker {
 		_, _ = w.Write([]byte("data: [DONE]\n\n"))
@@ -121,8 +127,8 @@
 	_ = out.Flush()
 }
 
-func (r *run) chunk(id, text string) wire.Chunk {
-	c := wire.Chunk{ID: id, Object: r.object(true), Model: r.req.Model, Choices: []wire.Choice{{}}}
+func (r *execution) chunk(id, text string) wire.Chunk {
+	c := wire.Chunk{ID: id, Object: r.objectName(true), Model: r.req.Model, Choices: []wire.Choice{{}}}
 	if r.chat {
 		c.Choices[0].Delta = &wire.Message{Content: text}
 	} else {
@@ -131,7 +137,7 @@
 	return c
 }
 
-func (r *run) event(w http.ResponseWriter, c wire.Chunk) {
+func (r *execution) writeEvent(w http.ResponseWriter, c wire.Chunk) {
 	b, err := json.Marshal(c)
 	if err != nil {
 		panic("emulator: " + err.Error())
@@ -141,7 +147,7 @@
 	_, _ = w.Write([]byte("\n\n"))
 }
 
-func (r *run) object(chunk bool) string {
+func (r *execution) objectName(chunk bool) string {
 	switch {
 	case r.chat && chunk:
 		return "chat.completion.chunk"
@@ -151,7 +157,7 @@
 	return "text_completion"
 }
 
-func (r *run) finalUsage(n int) *wire.Usage {
+func (r *execution) finalUsage(n int) *wire.Usage {
 	u := r.usage
 	u.CompletionTokens = n
 	u.TotalTokens = u.PromptTokens + n
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -14,44 +14,47 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// Service is a stand-in for a plain service. It answers each call with the
-// body it got and keeps a record of what it ran.
+// Service emulates a plain service. It answers each call with the received
+// body and counts the executions.
 type Service struct {
 	incarnation uint64
 	leaving     atomic.Bool
 	fault       atomic.Pointer[EngineFault]
 	running     atomic.Int64
 
-	mu   sync.Mutex
-	runs map[string]int // runs counts executions by body.
+	mu         sync.Mutex
+	executions map[string]int // number of executions by body
 }
 
-// NewService returns a service that has run nothing.
+// NewService returns a service without executions.
 func NewService() *Service {
-	s := &Service{incarnation: uint64(time.Now().UnixNano()) + engineIncarnation.Add(1), runs: make(map[string]int)}
+	s := &Service{
+		incarnation: uint64(time.Now().UnixNano()) + incarnationCounter.Add(1),
+		executions:  make(map[string]int),
+	}
 	s.fault.Store(&EngineFault{})
 	return s
 }
 
-// SetFault replaces what goes wrong.
+// SetFault replaces the injected faults.
 func (s *Service) SetFault(f EngineFault) { s.fault.Store(&f) }
 
-// SetLeaving tells whether the service says that it is leaving.
+// SetLeaving sets whether the service reports the state Leaving.
 func (s *Service) SetLeaving(leaving bool) { s.leaving.Store(leaving) }
 
-// Executions returns how often a call with a body ran.
+// Executions returns how many times a call with a body ran.
 func (s *Service) Executions(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.runs[body]
+	return s.executions[body]
 }
 
-// Runs returns a copy of the executions by body.
+// Runs returns the number of executions by body.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]int, len(s.runs))
-	for k, v := range s.runs {
+	out := make(map[string]int, len(s.executions))
+	for k, v := range s.executions {
 		out[k] = v
 	}
 	return out
@@ -88,7 +91,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.runs[string(body)]++
+	s.executions[string(body)]++
 	s.mu.Unlock()
 	sleep(r.Context(), f.Slow)
 	if f.LoseAnswer {
