--- a/experimenter/changes.go
+++ b/experimenter/changes.go
@@ -16,25 +16,25 @@
 	"amaranthgate.example/amaranthgate/internal/deployment"
 )
 
-// ChangesOptions set up the measurement of changes of the configuration.
+// ChangesOptions configure the measurement of configuration changes.
 type ChangesOptions struct {
 	Hosts      int
 	Changes    int
-	Workspaces int // Workspaces is the number of workspaces in the document.
+	Workspaces int // number of workspaces in the document
 	LogLatency time.Duration
 }
 
-// ChangesResult is how fast changes are in force on all hosts.
+// ChangesResult holds the times until changes are in force on all hosts.
 type ChangesResult struct {
-	Usual *Times
-	Slow  *Times // Slow is of changes while the log had a slow spell of 2 s.
-	Bytes int    // Bytes is the size of the record of one change.
+	Normal      *Histogram
+	Slow        *Histogram // changes published while the log is slow
+	RecordBytes int        // size of the record of one change
 }
 
-// Changes publishes changes at changing hosts and waits for each until it is in
-// force everywhere.
+// Changes publishes changes at the hosts in turn and waits until each is in
+// force on all hosts.
 func Changes(ctx context.Context, opts ChangesOptions) (ChangesResult, error) {
-	res := ChangesResult{Usual: NewTimes(), Slow: NewTimes()}
+	res := ChangesResult{Normal: NewHistogram(), Slow: NewHistogram()}
 	d, err := deployment.Start(ctx, deployment.Options{
 		Hosts: opts.Hosts, Engines: 2, LogLatency: opts.LogLatency,
 		Document: func(doc *configurer.Document) {
@@ -51,14 +51,14 @@
 	defer d.Close()
 	time.Sleep(2 * time.Second)
 	for i := range opts.Changes {
-		if err := res.one(ctx, d, i, res.Usual); err != nil {
+		if err := res.measure(ctx, d, i, res.Normal); err != nil {
 			return res, err
 		}
 	}
 	for i := range 5 {
 		d.Log.SetFault(emulator.LogFault{Slow: 2 * time.Second})
 		time.AfterFunc(2*time.Second, func() { d.Log.SetFault(emulator.LogFault{}) })
-		if err := res.one(ctx, d, opts.Changes+i, res.Slow); err != nil {
+		if err := res.measure(ctx, d, opts.Changes+i, res.Slow); err != nil {
 			return res, err
 		}
 		time.Sleep(time.Second)
@@ -66,7 +66,8 @@
 	return res, nil
 }
 
-func (r *ChangesResult) one(ctx context.Context, d *deployment.Deployment, i int, times *Times) error {
+// measure publishes the i-th change and adds the time until all hosts have it.
+func (r *ChangesResult) measure(ctx context.Context, d *deployment.Deployment, i int, times *Histogram) error {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	host := d.Hosts[i%len(d.Hosts)]
@@ -78,16 +79,16 @@
 	if err != nil {
 		return err
 	}
-	r.Bytes = len(delta.Patch) + len(delta.Digest) + len(delta.ID)
+	r.RecordBytes = len(delta.Patch) + len(delta.Digest) + len(delta.ID)
 	start := time.Now()
 	res, ok := host.Publish(ctx, delta)
 	if !ok || res.Fate != configurer.FateAccepted {
-		return errors.Errorf("experimenter: the change was not accepted: %+v", res)
+		return errors.Errorf("experimenter: configuration change was not accepted: %+v", res)
 	}
 	for _, h := range d.Hosts {
 		for h.Revision() < res.Revision {
 			if ctx.Err() != nil {
-				return errors.New("experimenter: the change did not come into force in time")
+				return errors.New("experimenter: configuration change is not in force on all hosts in time")
 			}
 			time.Sleep(200 * time.Microsecond)
 		}
@@ -96,9 +97,9 @@
 	return nil
 }
 
-// Print writes a result.
+// Print writes a result as a table.
 func (r ChangesResult) Print(w io.Writer) {
-	fmt.Fprintf(w, "in force on all hosts              %s  (%d changes)\n", r.Usual, r.Usual.Count())
+	fmt.Fprintf(w, "in force on all hosts              %s  (%d changes)\n", r.Normal, r.Normal.Count())
 	fmt.Fprintf(w, "while the log is slow for 2 s      %s  (%d changes)\n", r.Slow, r.Slow.Count())
-	fmt.Fprintf(w, "size of a change                   %d bytes\n", r.Bytes)
+	fmt.Fprintf(w, "size of a change                   %d bytes\n", r.RecordBytes)
 }
--- a/experimenter/claims.go
+++ b/experimenter/claims.go
@@ -24,34 +24,34 @@
 	"amaranthgate.example/amaranthgate/server"
 )
 
-// ClaimsOptions set up the measurement of requests that may run only once.
+// ClaimsOptions configure the measurement of requests that may run only once.
 type ClaimsOptions struct {
 	Hosts      int
-	Rate       float64 // Rate is in requests per second, half of them with a claim.
+	Rate       float64 // requests per second, half of them with a claim
 	For        time.Duration
 	LogLatency time.Duration
-	Faults     bool // Faults lets the log fail in turns, and ends an owner's process in the middle.
+	Faults     bool // inject faults of the log, and stop the owner of a range halfway
 }
 
-// ClaimsResult is what claims cost.
+// ClaimsResult is the cost and the correctness of claims.
 type ClaimsResult struct {
-	Plain    *Times // Plain is the time of calls without a claim.
-	Claimed  *Times // Claimed is the time of calls with one.
-	Failed   int
-	Appends  float64       // Appends is the log's appends per second during the load.
-	TakeOver time.Duration // TakeOver is the time from the end of an owner's process to the next claim in its range.
-	Keys     int           // Keys is the number of keys sent.
-	Twice    int           // Twice is the number of keys that ran more than once.
-	NotRun   int           // NotRun is the number of keys that were refused as not run.
-	Lies     int           // Lies is the number of those that ran.
+	Plain        *Histogram // response times without a claim
+	Claimed      *Histogram // response times with a claim
+	Failed       int
+	Appends      float64       // appends to the log per second
+	TakeOver     time.Duration // time from an owner's stop to the next claim in its range
+	Keys         int           // number of keys sent
+	RanTwice     int           // number of requests that ran more than once
+	NotRun       int           // number of requests reported as not run
+	NotRunButRan int           // number of those that ran
 
-	notRun []string
+	notRunBodies []string
 }
 
-// Claims measures calls with and without a claim in one run, and the take-over
-// after an owner has died.
+// Claims measures calls with and without a claim, and the take-over of a range
+// of claims after its owner has stopped.
 func Claims(ctx context.Context, opts ClaimsOptions) (ClaimsResult, error) {
-	res := ClaimsResult{Plain: NewTimes(), Claimed: NewTimes()}
+	res := ClaimsResult{Plain: NewHistogram(), Claimed: NewHistogram()}
 	d, err := deployment.Start(ctx, deployment.Options{
 		Hosts: opts.Hosts, Services: 4, LogLatency: opts.LogLatency,
 		Document: func(doc *configurer.Document) {
@@ -66,13 +66,13 @@
 		return res, err
 	}
 	defer d.Close()
-	time.Sleep(4 * time.Second) // duties are taken, grants have come
+	time.Sleep(4 * time.Second) // until the ranges have owners and the hosts their shares of the limits
 	before := d.Log.Appends()
 	start := time.Now()
 	if opts.Faults {
 		faultCtx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		go failInTurns(faultCtx, d.Log)
+		go cycleFaults(faultCtx, d.Log)
 		owner, others := splitOwner(d)
 		if owner == nil {
 			return res, errors.New("experimenter: nobody owns the range")
@@ -80,7 +80,7 @@
 		d.Hosts = others
 		time.AfterFunc(opts.For/2, func() { owner.Close() })
 	}
-	res.load(ctx, d, opts)
+	res.sendCalls(ctx, d, opts)
 	res.Appends = float64(d.Log.Appends()-before) / time.Since(start).Seconds()
 	res.audit(d.Services)
 	if !opts.Faults {
@@ -89,7 +89,7 @@
 	return res, err
 }
 
-// audit compares what was said with what the services ran.
+// audit compares the reported outcomes with the services' executions.
 func (r *ClaimsResult) audit(services []*emulator.Service) {
 	runs := make(map[string]int)
 	for _, s := range services {
@@ -99,28 +99,30 @@
 	}
 	for _, n := range runs {
 		if n > 1 {
-			r.Twice++
+			r.RanTwice++
 		}
 	}
-	r.NotRun = len(r.notRun)
-	for _, body := range r.notRun {
+	r.NotRun = len(r.notRunBodies)
+	for _, body := range r.notRunBodies {
 		if runs[body] > 0 {
-			r.Lies++
+			r.NotRunButRan++
 		}
 	}
 }
 
-// failInTurns lets the log lose answers, be slow and be down, with pauses.
-func failInTurns(ctx context.Context, log *emulator.Log) {
-	turns := []emulator.LogFault{{LoseAnswers: 0.3}, {}, {Slow: 100 * time.Millisecond}, {}, {Down: true}, {}}
+// cycleFaults has the log lose answers, be slow and be down in turn, with
+// pauses, until ctx ends.
+func cycleFaults(ctx context.Context, log *emulator.Log) {
+	faults := []emulator.LogFault{{LoseAnswers: 0.3}, {}, {Slow: 100 * time.Millisecond}, {}, {Down: true}, {}}
 	for i := 0; ctx.Err() == nil; i++ {
-		log.SetFault(turns[i%len(turns)])
+		log.SetFault(faults[i%len(faults)])
 		time.Sleep(1500 * time.Millisecond)
 	}
 	log.SetFault(emulator.LogFault{})
 }
 
-func (r *ClaimsResult) load(ctx context.Context, d *deployment.Deployment, opts ClaimsOptions) {
+// sendCalls sends calls at a fixed rate, every second one with a claim.
+func (r *ClaimsResult) sendCalls(ctx context.Context, d *deployment.Deployment, opts ClaimsOptions) {
 	client := newHTTPClient()
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -146,7 +148,7 @@
 			switch {
 			case notRun:
 				r.Failed++
-				r.notRun = append(r.notRun, body)
+				r.notRunBodies = append(r.notRunBodies, body)
 			case !ok:
 				r.Failed++
 			case key == "":
@@ -159,10 +161,13 @@
 	all.Wait()
 }
 
-// call calls the plain service, once if it has a key. notRun tells that it was
-// refused as not run.
+// call calls the plain service, with a claim if key is not empty. notRun
+// reports whether the call failed with the assurance that it did not run.
 func call(ctx context.Context, client *http.Client, address, key, body string) (ok, notRun bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/services/"+deployment.Service+"/slots", bytes.NewReader([]byte(body)))
+	req, err := http.NewRequestWithContext(
+		ctx, http.MethodPost, "http://"+address+"/services/"+deployment.Service+"/slots",
+		bytes.NewReader([]byte(body)),
+	)
 	if err != nil {
 		return false, false
 	}
@@ -185,8 +190,8 @@
 	return false, json.Unmarshal(answer, &p) == nil && p.Ran == forwarder.RanNo
 }
 
-// splitOwner returns the host that owns the first range of claims, and the
-// others.
+// splitOwner returns the host that owns the first range of claims, or nil, and
+// the other hosts.
 func splitOwner(d *deployment.Deployment) (owner *runner.Host, others []*runner.Host) {
 	lease := d.Hosts[0].Dump().Control.Leases[claimer.LeaseName(0)]
 	for _, h := range d.Hosts {
@@ -199,8 +204,8 @@
 	return owner, others
 }
 
-// takeOver ends the process that owns the first range and returns when the next
-// claim there is won.
+// takeOver stops the owner of the first range of claims and returns the time
+// until the next claim in it succeeds.
 func takeOver(ctx context.Context, d *deployment.Deployment) (time.Duration, error) {
 	owner, others := splitOwner(d)
 	if owner == nil {
@@ -222,15 +227,15 @@
 	return 0, ctx.Err()
 }
 
-// Print writes a result.
+// Print writes a result as a table.
 func (r ClaimsResult) Print(w io.Writer) {
 	fmt.Fprintf(w, "calls without a claim    %s  (%d)\n", r.Plain, r.Plain.Count())
 	fmt.Fprintf(w, "calls with a claim       %s  (%d)\n", r.Claimed, r.Claimed.Count())
-	fmt.Fprintf(w, "added at p50             %s\n", round(r.Claimed.At(0.5)-r.Plain.At(0.5)))
+	fmt.Fprintf(w, "added at p50             %s\n", round(r.Claimed.Quantile(0.5)-r.Plain.Quantile(0.5)))
 	fmt.Fprintf(w, "failed                   %d\n", r.Failed)
 	fmt.Fprintf(w, "keys                     %d\n", r.Keys)
-	fmt.Fprintf(w, "keys that ran twice      %d\n", r.Twice)
-	fmt.Fprintf(w, "refused as not run       %d, of which ran %d\n", r.NotRun, r.Lies)
+	fmt.Fprintf(w, "keys that ran twice      %d\n", r.RanTwice)
+	fmt.Fprintf(w, "refused as not run       %d, of which ran %d\n", r.NotRun, r.NotRunButRan)
 	fmt.Fprintf(w, "appends per second       %.0f\n", r.Appends)
 	fmt.Fprintf(w, "take-over                %s\n", round(r.TakeOver))
 }
--- a/experimenter/compare.go
+++ b/experimenter/compare.go
@@ -11,28 +11,28 @@
 	"amaranthgate.example/amaranthgate/router"
 )
 
-// Policies are the policies to compare: the bound, this project's, the
-// baselines, and this project's with one mechanism switched off in turn.
+// Policies returns the policies to compare: an upper bound with perfect
+// knowledge, the router, the baselines, and ablations of the router.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "bound (perfect knowledge)", Perfect: true},
 		{Name: "amaranthgate"},
-		{Name: "random", Pick: PickRandom, NoSends: true, NoExport: true},
-		{Name: "round robin", Pick: PickRoundRobin, NoExport: true},
-		{Name: "least load", Pick: PickLeastLoad, NoSends: true, NoExport: true},
-		{Name: "rendezvous only", Pick: PickRendezvous, NoExport: true},
-		{Name: "rendezvous with stores", Pick: PickRendezvous},
-		{Name: "least load with stores", Pick: PickLeastLoad},
+		{Name: "random", Baseline: BaselineRandom, NoPeerLoad: true, NoExport: true},
+		{Name: "round robin", Baseline: BaselineRoundRobin, NoExport: true},
+		{Name: "least load", Baseline: BaselineLeastLoad, NoPeerLoad: true, NoExport: true},
+		{Name: "rendezvous only", Baseline: BaselineRendezvous, NoExport: true},
+		{Name: "rendezvous with stores", Baseline: BaselineRendezvous},
+		{Name: "least load with stores", Baseline: BaselineLeastLoad},
 		{Name: "without affinity", Router: router.Options{NoAffinity: true}},
 		{Name: "without two choices", Router: router.Options{NoTwoChoices: true}},
 		{Name: "without load correction", Router: router.Options{NoCorrection: true}},
-		{Name: "without peers' sends", NoSends: true},
+		{Name: "without peers' sends", NoPeerLoad: true},
 		{Name: "without restore", Router: router.Options{NoRestore: true}},
 		{Name: "without index", Router: router.Options{NoHoldings: true}},
 		{Name: "without gossip of placements", NoGossip: true},
 		{Name: "without answers kept", NoAnswers: true},
 		{Name: "without stores", NoExport: true},
-		{Name: "reserved slots, not engines", Share: true},
+		{Name: "reserved slots, not engines", SharedSlots: true},
 		{Name: "without reserve", NoReserve: true},
 		{Name: "without stores, gossip", NoExport: true, NoGossip: true},
 		{Name: "without stores, gossip, affinity", NoExport: true, NoGossip: true, Router: router.Options{NoAffinity: true}},
@@ -40,7 +40,7 @@
 	}
 }
 
-// Compare runs policies side by side over the same workload.
+// Compare simulates policies on the same workload, at most workers at once.
 func Compare(spec Spec, policies []Policy, cond Conditions, seed uint64, workers int) []Result {
 	results := make([]Result, len(policies))
 	limit := make(chan struct{}, workers)
@@ -51,7 +51,7 @@
 			defer all.Done()
 			limit <- struct{}{}
 			defer func() { <-limit }()
-			results[i] = Run(spec, p, cond, seed)
+			results[i] = Simulate(spec, p, cond, seed)
 		}()
 	}
 	all.Wait()
@@ -68,7 +68,8 @@
 	for _, r := range results {
 		fmt.Fprintf(w, "%-30s %9.2f%% %8.2f%% %8d %6.3f", r.Policy, 100*r.Recomputed, 100*r.LinkUse, r.Refused, r.Jain)
 		for _, c := range r.Classes {
-			fmt.Fprintf(w, "  %s / %s / %s", round(c.Times.At(0.5)), round(c.Times.At(0.95)), round(c.Times.At(0.99)))
+			fmt.Fprintf(w, "  %s / %s / %s",
+				round(c.FirstToken.Quantile(0.5)), round(c.FirstToken.Quantile(0.95)), round(c.FirstToken.Quantile(0.99)))
 		}
 		fmt.Fprintln(w)
 	}
--- a/experimenter/control.go
+++ b/experimenter/control.go
@@ -12,30 +12,31 @@
 	"amaranthgate.example/amaranthgate/internal/deployment"
 )
 
-// ControlOptions set up the measurement of what control costs.
+// ControlOptions configure the measurement of control plane overhead. It runs
+// for all combinations of Hosts and Engines.
 type ControlOptions struct {
-	Hosts   []int // Hosts are the sizes to measure.
-	Engines []int // Engines are the numbers of engines to measure.
-	For     time.Duration
+	Hosts   []int
+	Engines []int
+	For     time.Duration // measured time of each combination
 }
 
-// ControlPoint is what control costs a host at one size.
+// ControlPoint is the control plane overhead at one size of the system.
 type ControlPoint struct {
-	Hosts     int
-	Engines   int
-	Processor float64 // Processor is the share of a core for each host.
-	Sent      float64 // Sent is in bytes per second for each host, without framing.
-	Memory    int64   // Memory is heap and stacks for each host, in bytes.
-	Appends   float64 // Appends is of all hosts, per second.
+	Hosts              int
+	Engines            int
+	CoreUse            float64 // CPU seconds per second and host
+	SentBytesPerSecond float64 // per host, without framing
+	MemoryBytes        int64   // heap and stacks per host
+	AppendsPerSecond   float64 // of all hosts
 }
 
-// Control measures hosts that carry no traffic. All hosts run in one process;
-// what stand-ins cost is in the figures.
+// Control measures hosts that carry no traffic. All hosts run in one process,
+// so that the results include the cost of the emulated platform and engines.
 func Control(ctx context.Context, opts ControlOptions) ([]ControlPoint, error) {
 	var out []ControlPoint
 	for _, engines := range opts.Engines {
 		for _, hosts := range opts.Hosts {
-			p, err := controlPoint(ctx, hosts, engines, opts.For)
+			p, err := measureControl(ctx, hosts, engines, opts.For)
 			if err != nil {
 				return out, err
 			}
@@ -45,9 +46,11 @@
 	return out, nil
 }
 
-func controlPoint(ctx context.Context, hosts, engines int, d time.Duration) (ControlPoint, error) {
-	before := memory()
-	dep, err := deployment.Start(ctx, deployment.Options{Hosts: hosts, Engines: engines, LogLatency: 2 * time.Millisecond})
+func measureControl(ctx context.Context, hosts, engines int, d time.Duration) (ControlPoint, error) {
+	before := usedMemory()
+	dep, err := deployment.Start(ctx, deployment.Options{
+		Hosts: hosts, Engines: engines, LogLatency: 2 * time.Millisecond,
+	})
 	if err != nil {
 		return ControlPoint{}, err
 	}
@@ -59,24 +62,26 @@
 		}
 		return total
 	}
-	bytes, cpu, appends, start := sent(), processorTime(), dep.Log.Appends(), time.Now()
+	bytes, cpu, appends, start := sent(), cpuTime(), dep.Log.Appends(), time.Now()
 	time.Sleep(d)
 	took := time.Since(start).Seconds()
 	n := float64(hosts)
 	return ControlPoint{
-		Hosts:     hosts,
-		Engines:   engines,
-		Processor: (processorTime() - cpu).Seconds() / took / n,
-		Sent:      float64(sent()-bytes) / took / n,
-		Appends:   float64(dep.Log.Appends()-appends) / took,
-		Memory:    (memory() - before) / int64(hosts),
+		Hosts:              hosts,
+		Engines:            engines,
+		CoreUse:            (cpuTime() - cpu).Seconds() / took / n,
+		SentBytesPerSecond: float64(sent()-bytes) / took / n,
+		AppendsPerSecond:   float64(dep.Log.Appends()-appends) / took,
+		MemoryBytes:        (usedMemory() - before) / int64(hosts),
 	}, nil
 }
 
 // PrintControl writes points as a table.
 func PrintControl(w io.Writer, points []ControlPoint) {
-	fmt.Fprintf(w, "%6s %8s %12s %14s %12s %10s\n", "hosts", "engines", "core/host", "bytes/s/host", "memory/host", "appends/s")
+	fmt.Fprintf(w, "%6s %8s %12s %14s %12s %10s\n",
+		"hosts", "engines", "core/host", "bytes/s/host", "memory/host", "appends/s")
 	for _, p := range points {
-		fmt.Fprintf(w, "%6d %8d %11.2f%% %14.0f %9.1f MB %10.1f\n", p.Hosts, p.Engines, 100*p.Processor, p.Sent, float64(p.Memory)/1e6, p.Appends)
+		fmt.Fprintf(w, "%6d %8d %11.2f%% %14.0f %9.1f MB %10.1f\n",
+			p.Hosts, p.Engines, 100*p.CoreUse, p.SentBytesPerSecond, float64(p.MemoryBytes)/1e6, p.AppendsPerSecond)
 	}
 }
--- a/experimenter/decisions.go
+++ b/experimenter/decisions.go
@@ -14,160 +14,165 @@
 	"amaranthgate.example/amaranthgate/scheduler"
 )
 
-// Pick is a way to choose an engine that is not this project's.
-type Pick string
+// Baseline is a routing algorithm to compare the router with.
+type Baseline string
 
-// The baselines.
+// The baselines. BaselineNone selects the router.
 const (
-	PickRouter     Pick = ""
-	PickRandom     Pick = "Random"
-	PickRoundRobin Pick = "RoundRobin"
-	PickLeastLoad  Pick = "LeastLoad"
-	PickRendezvous Pick = "Rendezvous"
+	BaselineNone       Baseline = ""
+	BaselineRandom     Baseline = "Random"
+	BaselineRoundRobin Baseline = "RoundRobin"
+	BaselineLeastLoad  Baseline = "LeastLoad"
+	BaselineRendezvous Baseline = "Rendezvous"
 )
 
-// Policy is a way to decide, with mechanisms switched off.
+// Policy is the router with some mechanisms disabled, or a baseline.
 type Policy struct {
-	Name      string
-	Pick      Pick
-	Perfect   bool // Perfect gives the decision instant knowledge of the truth.
-	Router    router.Options
-	NoSends   bool // NoSends keeps what hosts have under way to themselves.
-	NoGossip  bool // NoGossip keeps placements to the host that made them.
-	NoAnswers bool // NoAnswers keeps prompts without their answers.
-	NoExport  bool // NoExport keeps nothing in stores.
-	Share     bool // Share lets urgent classes reserve a part of each engine's slots instead of whole engines.
-	NoReserve bool // NoReserve reserves no slots for urgent classes.
-	NoQueue   bool // NoQueue lets nothing wait at hosts.
+	Name        string
+	Baseline    Baseline
+	Perfect     bool // route with the exact current state of all engines
+	Router      router.Options
+	NoPeerLoad  bool // hosts don't exchange the load they have in flight
+	NoGossip    bool // hosts don't exchange placements
+	NoAnswers   bool // store prompts without their answers
+	NoExport    bool // store nothing
+	SharedSlots bool // reserve a part of each engine's slots instead of whole engines
+	NoReserve   bool // reserve nothing for urgent classes
+	NoQueue     bool // no queues at hosts
 }
 
-// Conditions are what goes wrong during a run.
+// Conditions are the delays and faults of a simulation.
 type Conditions struct {
-	Lag        time.Duration // Lag is that of load reports and cache events.
-	EventLoss  float64       // EventLoss is the share of cache events that come only with the next full reading.
-	ZoneDown   time.Duration // ZoneDown is when an availability zone is lost; 0 for never.
-	LinkFactor float64       // LinkFactor multiplies the links' rate; 0 for 1.
+	Lag        time.Duration // delay of load reports and cache events
+	EventLoss  float64       // fraction of cache events that only the next full read delivers
+	ZoneDown   time.Duration // time at which an availability zone fails; 0 for never
+	LinkFactor float64       // factor on the links' rate; 0 for 1
 }
 
-// Healthy is a usual day: reports half a second old.
+// Healthy are the conditions without faults.
 var Healthy = Conditions{Lag: 500 * time.Millisecond}
 
-// Result is what a policy achieved.
+// Result is the outcome of one policy.
 type Result struct {
 	Policy     string
 	Classes    []ClassResult
-	Recomputed float64 // Recomputed is the part of what had been computed before that was computed again.
-	LinkUse    float64 // LinkUse is the part of the links' time that was used.
+	Recomputed float64 // fraction of repeated prompt tokens that were computed again
+	LinkUse    float64 // utilization of the links
 	Refused    int
 	Requests   int
-	Jain       float64 // Jain is Jain's index over the workspaces' mean ratio of ideal to real time to first token.
+	Jain       float64 // Jain's index of the workspaces' mean ratio of ideal to actual time to first token
 }
 
-// ClassResult is the time to first token of one class.
+// ClassResult is the distribution of the time to first token of one class.
 type ClassResult struct {
-	Class string
-	Times *Times
+	Class      string
+	FirstToken *Histogram
 }
 
-// Constants of the simulation that are the same for all policies.
+// Parameters of the simulation that all policies share.
 const (
-	reportInterval = 500 * time.Millisecond
-	keptInterval   = time.Second // keptInterval is how long news of stores takes to hosts.
-	fullReading    = 2 * time.Second
-	planInterval   = 250 * time.Millisecond
-	sendsInterval  = 50 * time.Millisecond // sendsInterval is how often hosts say what they have under way.
-	hop            = time.Millisecond
-	overcommit     = 1.1
+	reportInterval   = 500 * time.Millisecond
+	keptDelay        = time.Second // delay of a store's changes to hosts
+	fullReadInterval = 2 * time.Second
+	planInterval     = 250 * time.Millisecond
+	peerLoadInterval = 50 * time.Millisecond // interval at which hosts exchange their load in flight
+	hopLatency       = time.Millisecond
+	slotOvercommit   = 1.1
 )
 
 var simEpoch = time.Date(2026, 3, 12, 0, 0, 0, 0, time.UTC)
 
-// simulation runs one policy over one workload.
+// simulation simulates one policy on one workload in virtual time.
 type simulation struct {
-	world
-	spec    Spec
-	policy  Policy
-	cond    Conditions
-	rng     *rand.Rand
-	engines []*simEngine
-	stores  []*keeper.Store
-	convOf  map[[16]byte]blockOwner
-	hosts   []*simHost
-	classes []configurer.Class
+	eventLoop
+	spec        Spec
+	policy      Policy
+	cond        Conditions
+	rng         *rand.Rand
+	engines     []*simEngine
+	stores      []*keeper.Store
+	blockOwners map[[16]byte]blockOwner
+	hosts       []*simHost
+	classes     []configurer.Class
 
-	times      []*Times
-	again      float64
-	before     float64
-	refused    int
-	requests   int
-	ideal      []float64
-	idealCount []float64
-	robin      int
+	times            []*Histogram
+	recomputedTokens float64
+	repeatedTokens   float64
+	refused          int
+	requests         int
+	idealRatios      []float64
+	idealRatioCounts []float64
+	roundRobin       int
 }
 
+// blockOwner is the conversation that a block belongs to, and the tokens up to
+// the end of the block.
 type blockOwner struct {
 	conv   int
 	tokens int
 }
 
-// simHost is one entry host.
+// simHost is a host of the simulation.
 type simHost struct {
 	sim      *simulation
 	zone     int
 	index    *keeper.Index
 	lookup   keeper.Lookup
 	router   *router.Router
-	pool     []router.Target
+	targets  []router.Target
 	meters   []router.Meter
 	queue    scheduler.Queue
 	waiting  map[*scheduler.Item]*turn
 	holdings []router.Holding
 }
 
-// Run simulates a policy. The same seed gives the same workload.
-func Run(spec Spec, policy Policy, cond Conditions, seed uint64) Result {
+// Simulate simulates a policy. The same seed gives the same workload.
+func Simulate(spec Spec, policy Policy, cond Conditions, seed uint64) Result {
 	if cond.LinkFactor > 0 {
 		spec.LinkRate *= cond.LinkFactor
 	}
-	s := &simulation{spec: spec, policy: policy, cond: cond, rng: rand.New(rand.NewPCG(seed, 3)), convOf: make(map[[16]byte]blockOwner)}
+	s := &simulation{
+		spec: spec, policy: policy, cond: cond,
+		rng: rand.New(rand.NewPCG(seed, 3)), blockOwners: make(map[[16]byte]blockOwner),
+	}
 	s.build(seed)
 	g := newGenerator(spec, seed)
-	s.every(reportInterval, s.report)
-	s.every(planInterval, s.plan)
-	if !policy.NoSends && !policy.Perfect {
-		s.every(sendsInterval, s.sends)
+	s.every(reportInterval, s.sampleLoads)
+	s.every(planInterval, s.runStorePlans)
+	if !policy.NoPeerLoad && !policy.Perfect {
+		s.every(peerLoadInterval, s.sharePeerLoads)
 	}
 	if cond.ZoneDown > 0 {
-		s.after(cond.ZoneDown, s.loseZone)
+		s.after(cond.ZoneDown, s.failZone)
 	}
 	for {
 		t, ok := g.pop()
 		if !ok {
 			break
 		}
-		s.until(t.at)
+		s.runUntil(t.at)
 		s.hosts[s.rng.IntN(len(s.hosts))].arrive(t)
 	}
-	s.until(spec.For + 10*time.Minute)
+	s.runUntil(spec.For + 10*time.Minute)
 	return s.result()
 }
 
 func (s *simulation) build(seed uint64) {
 	for _, c := range s.spec.Classes {
-		s.times = append(s.times, NewTimes())
+		s.times = append(s.times, NewHistogram())
 		reserved := c.Reserved
 		if s.policy.NoReserve {
 			reserved = 0
 		}
 		s.classes = append(s.classes, configurer.Class{Name: c.Name, Rank: c.Rank, Weight: c.Weight, Reserved: reserved})
 	}
-	s.ideal = make([]float64, s.spec.Workspaces)
-	s.idealCount = make([]float64, s.spec.Workspaces)
+	s.idealRatios = make([]float64, s.spec.Workspaces)
+	s.idealRatioCounts = make([]float64, s.spec.Workspaces)
 	for i := range s.spec.Engines {
-		s.engines = append(s.engines, newSimEngine(&s.world, &s.spec, i))
+		s.engines = append(s.engines, newSimEngine(&s.eventLoop, &s.spec, i))
 		s.stores = append(s.stores, keeper.NewStore(keeper.StoreOptions{
-			Capacity:   s.spec.Store / keeper.TokensPerBlock,
-			BlockBytes: s.spec.TokenBytes * keeper.TokensPerBlock,
+			Capacity:   s.spec.StoreTokens / keeper.TokensPerBlock,
+			BlockBytes: s.spec.BytesPerToken * keeper.TokensPerBlock,
 			LinkRate:   s.spec.LinkRate,
 		}))
 	}
@@ -189,9 +194,10 @@
 		name := engineName(j)
 		h.index.ID(name)
 		h.index.Refresh(name, simEpoch.Add(10*s.spec.For))
-		h.pool = append(h.pool, router.Target{
-			Name: name, Hash: router.NameHash(name), Usable: true, Near: e.zone == h.zone, Slots: float64(s.spec.Slots),
-			PrefillRate: s.spec.Prefill, LinkRate: s.spec.LinkRate, BytesPerToken: s.spec.TokenBytes, Meter: &h.meters[j],
+		h.targets = append(h.targets, router.Target{
+			Name: name, Hash: router.NameHash(name), Usable: true, Near: e.zone == h.zone,
+			Slots: float64(s.spec.Slots), PrefillRate: s.spec.PrefillRate, LinkRate: s.spec.LinkRate,
+			BytesPerToken: s.spec.BytesPerToken, Meter: &h.meters[j],
 		})
 	}
 	return h
@@ -201,21 +207,23 @@
 
 func (s *simulation) clock() time.Time { return simEpoch.Add(s.now) }
 
+// every calls f periodically until the workload ends.
 func (s *simulation) every(d time.Duration, f func()) {
-	var again func()
-	again = func() {
+	var tick func()
+	tick = func() {
 		f()
 		if s.now < s.spec.For {
-			s.after(d, again)
+			s.after(d, tick)
 		}
 	}
-	s.after(d, again)
+	s.after(d, tick)
 }
 
-// report samples the engines' load and brings it to all hosts after the lag.
-func (s *simulation) report() {
+// sampleLoads samples the load of all engines and delivers it to all hosts
+// after the lag.
+func (s *simulation) sampleLoads() {
 	for i, e := range s.engines {
-		load := router.Load{Running: e.running, Waiting: len(e.waiting), WaitingTokens: e.backlog()}
+		load := router.Load{Running: e.running, Waiting: len(e.waiting), WaitingTokens: e.pendingTokens()}
 		down := e.down
 		marks := make([]router.Mark, len(s.hosts))
 		for j, h := range s.hosts {
@@ -225,8 +233,8 @@
 			for j, h := range s.hosts {
 				l := load
 				l.Base = marks[j]
-				h.pool[i].Load = l
-				h.pool[i].Usable = !down
+				h.targets[i].Load = l
+				h.targets[i].Usable = !down
 			}
 		})
 	}
@@ -237,32 +245,32 @@
 	})
 }
 
-// sends lets every host tell the others what it has under way.
-func (s *simulation) sends() {
+// sharePeerLoads sends the load that each host has in flight to all others.
+func (s *simulation) sharePeerLoads() {
 	type count struct{ requests, tokens int }
-	said := make([]count, len(s.hosts)*len(s.engines))
+	counts := make([]count, len(s.hosts)*len(s.engines))
 	for j, h := range s.hosts {
 		for i := range s.engines {
-			said[j*len(s.engines)+i] = count{h.meters[i].InFlight(), h.meters[i].Pending()}
+			counts[j*len(s.engines)+i] = count{h.meters[i].InFlight(), h.meters[i].Pending()}
 		}
 	}
-	s.after(hop, func() {
+	s.after(hopLatency, func() {
 		for j, h := range s.hosts {
 			for i := range s.engines {
 				p := router.PeerLoad{Fresh: true}
 				for o := range s.hosts {
 					if o != j {
-						p.Requests += said[o*len(s.engines)+i].requests
-						p.Tokens += said[o*len(s.engines)+i].tokens
+						p.Requests += counts[o*len(s.engines)+i].requests
+						p.Tokens += counts[o*len(s.engines)+i].tokens
 					}
 				}
-				h.pool[i].Peers = p
+				h.targets[i].Peers = p
 			}
 		}
 	})
 }
 
-func (s *simulation) loseZone() {
+func (s *simulation) failZone() {
 	for _, e := range s.engines {
 		if e.zone == 0 {
 			e.down = true
@@ -270,8 +278,8 @@
 	}
 }
 
-// plan carries on the stores' plans.
-func (s *simulation) plan() {
+// runStorePlans executes the exports and frees that the stores' plans ask for.
+func (s *simulation) runStorePlans() {
 	if s.policy.NoExport {
 		return
 	}
@@ -289,17 +297,18 @@
 func (s *simulation) export(i int, x keeper.Export) {
 	e := s.engines[i]
 	end := x.Blocks[len(x.Blocks)-1]
-	owner := s.convOf[end]
+	owner := s.blockOwners[end]
 	if e.cachedTokens(owner.conv) < owner.tokens {
-		return // evicted before its export
+		return // evicted before the export
 	}
-	d := time.Duration(float64(len(x.Blocks)*keeper.TokensPerBlock) * s.spec.TokenBytes / s.spec.LinkRate * float64(time.Second))
+	d := time.Duration(float64(len(x.Blocks)*keeper.TokensPerBlock) * s.spec.BytesPerToken / s.spec.LinkRate *
+		float64(time.Second))
 	e.linkBusy += d
 	s.after(3*d, func() {
-		e.kept[owner.conv] = max(e.kept[owner.conv], owner.tokens)
+		e.storedTokens[owner.conv] = max(e.storedTokens[owner.conv], owner.tokens)
 		s.after(s.eventDelay(), func() {
 			s.stores[i].Sealed(s.clock(), end, 1, len(x.Blocks), x.From, x.Parent)
-			s.after(keptInterval, func() {
+			s.after(keptDelay, func() {
 				for _, h := range s.hosts {
 					h.index.SetKept(keeper.Kept{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
 				}
@@ -308,18 +317,18 @@
 	})
 }
 
-// eventDelay is how late a cache event comes. A lost one is made up for by the
-// next full reading.
+// eventDelay returns the delay of a cache event. The next full read delivers a
+// lost one.
 func (s *simulation) eventDelay() time.Duration {
 	if s.rng.Float64() < s.cond.EventLoss {
-		return s.cond.Lag + fullReading
+		return s.cond.Lag + fullReadInterval
 	}
 	return s.cond.Lag
 }
 
 func (s *simulation) free(i int, r keeper.Ref) {
-	owner := s.convOf[r.Wire]
-	delete(s.engines[i].kept, owner.conv)
+	owner := s.blockOwners[r.Wire]
+	delete(s.engines[i].storedTokens, owner.conv)
 	s.stores[i].Gone(r.Wire, r.Generation)
 	for _, h := range s.hosts {
 		h.index.RemoveKept(engineName(i), r.Wire)
@@ -329,21 +338,22 @@
 func (s *simulation) result() Result {
 	r := Result{Policy: s.policy.Name, Refused: s.refused, Requests: s.requests}
 	for i, c := range s.spec.Classes {
-		r.Classes = append(r.Classes, ClassResult{Class: c.Name, Times: s.times[i]})
+		r.Classes = append(r.Classes, ClassResult{Class: c.Name, FirstToken: s.times[i]})
 	}
-	if s.before > 0 {
-		r.Recomputed = s.again / s.before
+	if s.repeatedTokens > 0 {
+		r.Recomputed = s.recomputedTokens / s.repeatedTokens
 	}
 	var busy time.Duration
 	for _, e := range s.engines {
 		busy += e.linkBusy
 	}
 	r.LinkUse = busy.Seconds() / (s.spec.For.Seconds() * float64(len(s.engines)))
-	r.Jain = jain(s.ideal, s.idealCount)
+	r.Jain = jain(s.idealRatios, s.idealRatioCounts)
 	return r
 }
 
-// jain returns Jain's index of fairness (Jain, Chiu and Hawe, 1984) over means.
+// jain returns Jain's fairness index (Jain, Chiu and Hawe, 1984) of the means
+// sums[i]/counts[i], leaving out those without a count.
 func jain(sums, counts []float64) float64 {
 	var sum, squares, n float64
 	for i := range sums {
--- a/experimenter/doc.go
+++ b/experimenter/doc.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package experimenter measures the system: what it adds to the time to first
-// token, what a claim costs, how fast a change is in force, what control costs,
-// and what the decisions are worth on a seeded workload.
+// Package experimenter measures the system: the time to first token added by a
+// host, the cost of claims, the propagation time of configuration changes, the
+// overhead of the control plane, and the quality of routing decisions on a
+// seeded workload.
 //
 // # Usage
 //
@@ -15,6 +16,5 @@
 //	amaranthgate experiment ends --bad 3 --callers 2
 //	amaranthgate experiment fleet --hosts 100,300,985
 //
-// Each prints a table; figures belong into docs/MEASUREMENTS.md with the
-// command that gave them.
+// Each command prints a table.
 package experimenter
--- a/experimenter/ends.go
+++ b/experimenter/ends.go
@@ -10,79 +10,80 @@
 	"time"
 )
 
-// EndsWay is a way to treat requests under which engines have ended.
-type EndsWay string
+// EndsPolicy is a policy for requests under which engines have ended.
+type EndsPolicy string
 
-// The ways.
+// The policies.
 const (
-	EndsForgotten EndsWay = "Forgotten" // EndsForgotten remembers nothing of requests.
-	EndsUsual     EndsWay = "Usual"     // EndsUsual bars after three ends, and places suspects like all others.
-	EndsLeast     EndsWay = "Least"     // EndsLeast places suspects where the least is under way.
-	EndsApart     EndsWay = "Apart"     // EndsApart places each suspect where all hosts send it and no other one.
+	EndsNoQuarantine EndsPolicy = "Forgotten" // no quarantine
+	EndsBar          EndsPolicy = "Usual"     // bars requests, but places suspects like all others
+	EndsLeastLoaded  EndsPolicy = "Least"     // also places suspects on the least loaded engine
+	EndsIsolated     EndsPolicy = "Apart"     // also places each suspect alone on one engine
 )
 
-// EndsWays are all of them.
-var EndsWays = []EndsWay{EndsForgotten, EndsUsual, EndsLeast, EndsApart}
+// EndsPolicies are all policies.
+var EndsPolicies = []EndsPolicy{EndsNoQuarantine, EndsBar, EndsLeastLoaded, EndsIsolated}
 
-// EndsOptions describe a run in virtual time.
+// EndsOptions configure a simulation of requests that end engines.
 type EndsOptions struct {
 	Hosts, Engines int
-	Rate           float64       // Rate is of requests a second.
-	For            time.Duration // For is the length of the run.
-	Bad            int           // Bad is how many different requests end their engine.
-	Callers        int           // Callers is how many send each of them at once, again and again.
-	Crashes        float64       // Crashes is how many engines end by themselves, a second.
+	Rate           float64       // harmless requests per second
+	For            time.Duration // simulated time
+	Bad            int           // number of different requests that end their engine
+	Callers        int           // number of concurrent callers of each bad request
+	Crashes        float64       // engines per second that end for other reasons
 	Seed           uint64
 }
 
-// EndsResult is what a way led to.
+// EndsResult is the outcome of one policy. Other requests are the harmless ones.
 type EndsResult struct {
-	Way    EndsWay
-	Ends   int // Ends counts engines that ended under a bad request.
-	Late   int // Late counts arrivals of bad requests later than three seconds after their third end.
-	Cut    int // Cut counts other requests that had an engine end under them.
-	Barred int // Barred counts other requests that were barred.
-	Failed int // Failed counts other requests that were not served in the end.
-	Others int // Others counts the other requests.
+	Policy       EndsPolicy
+	Ends         int // engines that ended under a bad request
+	LateArrivals int // runs of bad requests that start later than endsLateAfter after their bar
+	Interrupted  int // other requests interrupted by the end of an engine
+	Barred       int // other requests that were barred
+	Failed       int // other requests that were not served
+	Others       int
 }
 
-// Times of the model of engines that end.
+// Parameters of the simulation of requests that end engines.
 const (
-	endsWork = 250 * time.Millisecond // endsWork is the mean time that an engine takes for a request.
-	// endsLeast and endsMost bound how long a bad request runs before its engine ends.
-	endsLeast   = 40 * time.Millisecond
-	endsMost    = 400 * time.Millisecond
-	endsAgain   = 300 * time.Millisecond // endsAgain is the pause of the caller of a bad request.
-	endsBack    = time.Second            // endsBack is the least time that an engine is away; up to four times as long.
-	endsShown   = 100 * time.Millisecond // endsShown is how long hosts take to see that an engine has started.
-	endsTold    = 5 * time.Millisecond   // endsTold is how long a word takes from host to host.
-	endsReports = 100 * time.Millisecond
-	endsPoll    = 20 * time.Millisecond // endsPoll is the interval at which requests that wait are looked at.
-	endsSettled = 3 * time.Second
-	endsSends   = 4 // endsSends bounds the offers of one try, endsRuns its runs, endsTries the tries of a caller.
-	endsRuns    = 2
-	endsTries   = 2
-	endsPrompt  = 400
-	endsMemory  = 67_000
-	endsSlots   = 64
-	endsService = "engines"
+	endsMeanRunTime = 250 * time.Millisecond // mean run time of a harmless request
+	// A bad request runs for a time between these bounds before its engine ends.
+	endsMinBadRunTime  = 40 * time.Millisecond
+	endsMaxBadRunTime  = 400 * time.Millisecond
+	endsBadInterval    = 300 * time.Millisecond // pause of a caller between bad requests
+	endsMinDowntime    = time.Second            // the maximum is four times as long
+	endsDiscoveryDelay = 100 * time.Millisecond // time until hosts know an engine's new instance
+	endsMessageDelay   = 5 * time.Millisecond   // delay of a ledger entry between hosts
+	endsReportInterval = 100 * time.Millisecond
+	endsPollInterval   = 20 * time.Millisecond // interval at which waiting requests are placed again
+	endsLateAfter      = 3 * time.Second       // longer than hosts take to learn of a bar
+	endsMaxSends       = 4                     // sends of one request, including those that reach no engine
+	endsMaxRuns        = 2                     // runs of one request
+	endsMaxAttempts    = 2                     // requests of one caller
+	endsPromptTokens   = 400
+	endsCapacityTokens = 67_000
+	endsSlots          = 64
+	endsService        = "engines"
 )
 
-// Ends runs the ways on the same requests.
+// Ends simulates all policies with the same seed.
 func Ends(o EndsOptions) []EndsResult {
 	var out []EndsResult
-	for _, way := range EndsWays {
-		out = append(out, newEndsModel(o, way).run())
+	for _, policy := range EndsPolicies {
+		out = append(out, newEndsModel(o, policy).run())
 	}
 	return out
 }
 
-// PrintEnds writes a table.
+// PrintEnds writes results as a table.
 func PrintEnds(w io.Writer, results []EndsResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "way\tends\tlate arrivals\tothers cut\tothers barred\tothers failed\tothers")
 	for _, r := range results {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", r.Way, r.Ends, r.Late, r.Cut, r.Barred, r.Failed, r.Others)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n",
+			r.Policy, r.Ends, r.LateArrivals, r.Interrupted, r.Barred, r.Failed, r.Others)
 	}
-	_ = t.Flush() // the writer below tells of its own failures
+	_ = t.Flush() // errors of the underlying writer are the caller's concern
 }
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -15,19 +15,19 @@
 	"amaranthgate.example/amaranthgate/quarantiner"
 )
 
-// endsModel is hosts with their real placement and quarantine, before engines that are
-// modelled.
+// endsModel runs the placer and the quarantine ledger of each host against
+// simulated engines.
 type endsModel struct {
-	world
-	opts    EndsOptions
-	way     EndsWay
-	rng     *rand.Rand
-	hosts   []*endsHost
-	engines []*endsEngine
-	born    int64
-	third   map[quarantiner.Identity]time.Duration // third is when the third engine had ended under a bad request.
-	ended   map[quarantiner.Identity]int
-	result  EndsResult
+	eventLoop
+	opts     EndsOptions
+	policy   EndsPolicy
+	rng      *rand.Rand
+	hosts    []*endsHost
+	engines  []*endsEngine
+	lastBorn int64
+	barredAt map[quarantiner.Identity]time.Duration // time at which a bad request reached quarantiner.Bar
+	ends     map[quarantiner.Identity]int
+	result   EndsResult
 }
 
 type endsHost struct {
@@ -39,64 +39,67 @@
 	id   string
 	born int64
 	up   bool
-	runs []*endsRun // runs are in the order in which they began, so that a seed gives one result.
+	runs []*endsRun // in starting order, so that results depend on the seed only
 }
 
-// endsTry is one try of a caller.
-type endsTry struct {
-	id     quarantiner.Identity
-	bad    bool
-	host   *endsHost
-	tried  []string
-	sends  int
-	runs   int
-	cut    bool
-	number int
-	ended  func(t *endsTry, served bool)
+// endsRequest is one request of a caller. A caller's retry is a new request.
+type endsRequest struct {
+	id           quarantiner.Identity
+	bad          bool
+	host         *endsHost
+	triedEngines []string
+	sends        int
+	runs         int
+	interrupted  bool
+	attempt      int
+	done         func(req *endsRequest, served bool)
 }
 
 type endsRun struct {
-	try    *endsTry
-	engine *endsEngine
-	choice placer.Choice
-	sent   time.Time
+	request *endsRequest
+	engine  *endsEngine
+	choice  placer.Choice
+	sent    time.Time
 }
 
-func newEndsModel(o EndsOptions, way EndsWay) *endsModel {
+func newEndsModel(o EndsOptions, policy EndsPolicy) *endsModel {
 	m := &endsModel{
-		opts: o, way: way, rng: rand.New(rand.NewPCG(o.Seed, 5)), result: EndsResult{Way: way},
-		third: make(map[quarantiner.Identity]time.Duration), ended: make(map[quarantiner.Identity]int),
+		opts: o, policy: policy, rng: rand.New(rand.NewPCG(o.Seed, 5)), result: EndsResult{Policy: policy},
+		barredAt: make(map[quarantiner.Identity]time.Duration), ends: make(map[quarantiner.Identity]int),
 	}
 	for i := range o.Engines {
 		m.engines = append(m.engines, &endsEngine{id: fmt.Sprint("engine-", i), born: 1, up: true})
 	}
-	m.born = 1
+	m.lastBorn = 1
 	for i := range o.Hosts {
 		h := &endsHost{placer: placer.New(placer.Options{Host: fmt.Sprint("host-", i), Seed: uint64(i)})}
-		h.ledger = quarantiner.New(quarantiner.Options{Changed: func() { m.after(endsTold, func() { m.tell(h) }) }})
+		h.ledger = quarantiner.New(quarantiner.Options{
+			Changed: func() { m.after(endsMessageDelay, func() { m.sendEntries(h) }) },
+		})
 		m.hosts = append(m.hosts, h)
 	}
-	m.show()
+	m.updateHosts()
 	return m
 }
 
-func (m *endsModel) time() time.Time { return simEpoch.Add(m.now) }
+func (m *endsModel) clock() time.Time { return simEpoch.Add(m.now) }
 
 func (m *endsModel) run() EndsResult {
-	m.every(endsReports, m.report)
-	m.arrive()
+	m.every(endsReportInterval, m.exchangeReports)
+	m.scheduleOther()
 	if m.opts.Crashes > 0 {
-		m.crash()
+		m.scheduleCrash()
 	}
 	for bad := range m.opts.Bad {
 		for range m.opts.Callers {
-			m.after(time.Duration(m.rng.Int64N(int64(endsAgain))), func() { m.again(bad) })
+			m.after(time.Duration(m.rng.Int64N(int64(endsBadInterval))), func() { m.sendBad(bad) })
 		}
 	}
-	m.until(m.opts.For)
+	m.runUntil(m.opts.For)
 	return m.result
 }
 
+// every calls f periodically.
 func (m *endsModel) every(d time.Duration, f func()) {
 	m.after(d, func() {
 		f()
@@ -104,15 +107,18 @@
 	})
 }
 
-// show lets the hosts see which engines there are.
-func (m *endsModel) show() {
+// updateHosts gives all hosts the current list of engines.
+func (m *endsModel) updateHosts() {
 	view := &follower.View{Listed: true, Table: matcher.New(matcher.Parts{Services: []matcher.Service{
-		{Name: endsService, Engine: &matcher.Engine{Slots: endsSlots, CapacityTokens: endsMemory, BytesPerToken: 18432, LinkMbps: 370_000}},
+		{Name: endsService, Engine: &matcher.Engine{
+			Slots: endsSlots, CapacityTokens: endsCapacityTokens, BytesPerToken: 18432, LinkMbps: 370_000,
+		}},
 	}})}
 	var upstreams []follower.Upstream
 	for _, e := range m.engines {
 		upstreams = append(upstreams, follower.Upstream{
-			ID: e.id, Born: e.born, Service: endsService, Standing: follower.StandingReady, Slots: endsSlots, Weights: map[string]uint64{"m": 1},
+			ID: e.id, Born: e.born, Service: endsService, Standing: follower.StandingReady,
+			Slots: endsSlots, Weights: map[string]uint64{"m": 1},
 		})
 	}
 	view.Upstreams = follower.ListOf(upstreams...)
@@ -121,112 +127,123 @@
 	}
 }
 
-func (m *endsModel) report() {
+// exchangeReports sends each host's placement report to all others.
+func (m *endsModel) exchangeReports() {
 	for i, h := range m.hosts {
-		h.placer.Watch(m.time())
+		h.placer.Watch(m.clock())
 		r := h.placer.Report()
 		for j, o := range m.hosts {
 			if i != j {
-				o.placer.Heard(m.time(), fmt.Sprint("host-", i), r)
+				o.placer.Heard(m.clock(), fmt.Sprint("host-", i), r)
 			}
 		}
 	}
 }
 
-func (m *endsModel) tell(h *endsHost) {
-	words := h.ledger.News(m.time())
+// sendEntries sends the changed entries of a host's ledger to all others.
+func (m *endsModel) sendEntries(h *endsHost) {
+	entries := h.ledger.News(m.clock())
 	for _, o := range m.hosts {
-		if o != h && len(words) > 0 {
-			o.ledger.Hear(m.time(), words)
+		if o != h && len(entries) > 0 {
+			o.ledger.Hear(m.clock(), entries)
 		}
 	}
 }
 
-// arrive lets requests that harm nobody come.
-func (m *endsModel) arrive() {
+// scheduleOther schedules the next harmless request.
+func (m *endsModel) scheduleOther() {
 	m.after(time.Duration(m.rng.ExpFloat64()/m.opts.Rate*float64(time.Second)), func() {
 		m.result.Others++
-		m.other(fmt.Sprint("other-", m.result.Others), 1)
-		m.arrive()
+		m.sendOther(fmt.Sprint("other-", m.result.Others), 1)
+		m.scheduleOther()
 	})
 }
 
-// other is one try of a caller whose request harms nobody.
-func (m *endsModel) other(name string, number int) {
-	t := m.newTry(name)
-	t.number = number
-	t.ended = func(t *endsTry, served bool) {
+// sendOther sends a harmless request, and again if it fails.
+func (m *endsModel) sendOther(name string, attempt int) {
+	req := m.newRequest(name)
+	req.attempt = attempt
+	req.done = func(req *endsRequest, served bool) {
 		switch {
 		case served:
-		case number < endsTries:
-			m.other(name, number+1)
+		case attempt < endsMaxAttempts:
+			m.sendOther(name, attempt+1)
 		default:
 			m.result.Failed++
 		}
 	}
-	m.choose(t)
+	m.place(req)
 }
 
-// again is a caller of a bad request, who sends it for as long as the run lasts.
-func (m *endsModel) again(bad int) {
-	t := m.newTry(fmt.Sprint("bad-", bad))
-	t.bad = true
-	t.ended = func(*endsTry, bool) { m.after(endsAgain, func() { m.again(bad) }) }
-	m.choose(t)
+// sendBad sends a bad request, and again after each end until the simulation
+// ends.
+func (m *endsModel) sendBad(bad int) {
+	req := m.newRequest(fmt.Sprint("bad-", bad))
+	req.bad = true
+	req.done = func(*endsRequest, bool) { m.after(endsBadInterval, func() { m.sendBad(bad) }) }
+	m.place(req)
 }
 
-func (m *endsModel) newTry(name string) *endsTry {
-	return &endsTry{id: quarantiner.Identify(quarantiner.Parts{Target: name}), host: m.hosts[m.rng.IntN(len(m.hosts))]}
+func (m *endsModel) newRequest(name string) *endsRequest {
+	return &endsRequest{
+		id:   quarantiner.Identify(quarantiner.Parts{Target: name}),
+		host: m.hosts[m.rng.IntN(len(m.hosts))],
+	}
 }
 
-// choose sends a try to an engine, or ends it.
-func (m *endsModel) choose(t *endsTry) {
-	ask := &placer.Ask{Service: endsService, Exclude: t.tried, SaltOf: func(uint64) string { return "" },
-		Prompt: &placer.Prompt{Model: "m", Output: 10, Parts: []placer.Part{{ID: t.id.String(), Tokens: endsPrompt}}}}
-	v := t.host.ledger.Standing(m.time(), t.id)
+// place starts a request at an engine, waits for room, or fails the request.
+func (m *endsModel) place(req *endsRequest) {
+	ask := &placer.Ask{
+		Service: endsService, Exclude: req.triedEngines, SaltOf: func(uint64) string { return "" },
+		Prompt: &placer.Prompt{
+			Model: "m", Output: 10, Parts: []placer.Part{{ID: req.id.String(), Tokens: endsPromptTokens}},
+		},
+	}
+	v := req.host.ledger.Standing(m.clock(), req.id)
 	switch {
-	case m.way == EndsForgotten:
+	case m.policy == EndsNoQuarantine:
 	case v.Standing == quarantiner.Barred:
-		if !t.bad {
+		if !req.bad {
 			m.result.Barred++
 		}
-		t.ended(t, false)
+		req.done(req, false)
 		return
-	case v.Standing == quarantiner.Suspect && m.way == EndsApart:
-		ask.Apart = placer.Apart{Key: t.id.Key(), Ends: v.Ends}
-	case v.Standing == quarantiner.Suspect && m.way == EndsLeast:
-		ask.Exclude = m.butLeast(t)
+	case v.Standing == quarantiner.Suspect && m.policy == EndsIsolated:
+		ask.Apart = placer.Apart{Key: req.id.Key(), Ends: v.Ends}
+	case v.Standing == quarantiner.Suspect && m.policy == EndsLeastLoaded:
+		ask.Exclude = m.allButLeastLoaded(req)
 	}
-	choice, verdict := t.host.placer.Choose(m.time(), ask)
-	if verdict == placer.None && len(ask.Exclude) > len(t.tried) {
-		ask.Exclude = t.tried // the one with the least under way takes nothing
-		choice, verdict = t.host.placer.Choose(m.time(), ask)
+	choice, verdict := req.host.placer.Choose(m.clock(), ask)
+	if verdict == placer.None && len(ask.Exclude) > len(req.triedEngines) {
+		ask.Exclude = req.triedEngines // the least loaded engine has no room
+		choice, verdict = req.host.placer.Choose(m.clock(), ask)
 	}
 	switch verdict {
 	case placer.Chosen:
-		m.send(t, choice)
+		m.startRun(req, choice)
 	case placer.Busy, placer.Awaits:
-		m.after(endsPoll, func() { m.choose(t) })
+		m.after(endsPollInterval, func() { m.place(req) })
 	default:
-		t.ended(t, false)
+		req.done(req, false)
 	}
 }
 
-// butLeast returns the names of all engines but the one that this host believes to have the
-// least under way.
-func (m *endsModel) butLeast(t *endsTry) []string {
+// allButLeastLoaded returns the names of all engines except the untried one
+// with the fewest requests in flight, as the request's host knows them.
+func (m *endsModel) allButLeastLoaded(req *endsRequest) []string {
 	best, least := "", 0
 	var all []string
 	for _, e := range m.engines {
 		all = append(all, e.id)
-		busy := t.host.placer.Busy(m.start(e))
-		if !slices.Contains(t.tried, e.id) && (best == "" || busy < least) {
+		busy := req.host.placer.Busy(m.instance(e))
+		if !slices.Contains(req.triedEngines, e.id) && (best == "" || busy < least) {
 			best, least = e.id, busy
 		}
 	}
 	return slices.DeleteFunc(all, func(id string) bool { return id == best })
 }
 
-func (m *endsModel) start(e *endsEngine) string {
+// instance returns the name of an engine's current instance.
+func (m *endsModel) instance(e *endsEngine) string {
 	return (&follower.Upstream{ID: e.id, Born: e.born}).Start()
 }
--- a/experimenter/endsrun.go
+++ b/experimenter/endsrun.go
@@ -11,27 +11,30 @@
 	"amaranthgate.example/amaranthgate/quarantiner"
 )
 
-// send begins a run at an engine, if it is there.
-func (m *endsModel) send(t *endsTry, c placer.Choice) {
-	t.sends++
-	t.tried = append(t.tried, c.Upstream.ID)
+// startRun starts a run at the chosen engine, or retries if that instance has
+// ended.
+func (m *endsModel) startRun(req *endsRequest, c placer.Choice) {
+	req.sends++
+	req.triedEngines = append(req.triedEngines, c.Upstream.ID)
 	e := m.engineOf(c)
 	if !e.up || e.born != c.Upstream.Born {
-		c.Ticket.Done(m.time(), placer.ResultUnreached)
-		m.next(t)
+		c.Ticket.Done(m.clock(), placer.ResultUnreached)
+		m.retry(req)
 		return
 	}
-	t.runs++
-	r := &endsRun{try: t, engine: e, choice: c, sent: m.time()}
+	req.runs++
+	r := &endsRun{request: req, engine: e, choice: c, sent: m.clock()}
 	e.runs = append(e.runs, r)
-	if !t.bad {
-		m.after(time.Duration(m.rng.ExpFloat64()*float64(endsWork)), func() { m.served(r) })
+	if !req.bad {
+		m.after(time.Duration(m.rng.ExpFloat64()*float64(endsMeanRunTime)), func() { m.finishRun(r) })
 		return
 	}
-	if third, ok := m.third[t.id]; ok && m.now > third+endsSettled {
-		m.result.Late++
+	if barred, ok := m.barredAt[req.id]; ok && m.now > barred+endsLateAfter {
+		m.result.LateArrivals++
 	}
-	m.after(endsLeast+time.Duration(m.rng.Int64N(int64(endsMost-endsLeast))), func() { m.endUnder(r) })
+	m.after(endsMinBadRunTime+time.Duration(m.rng.Int64N(int64(endsMaxBadRunTime-endsMinBadRunTime))), func() {
+		m.endByRequest(r)
+	})
 }
 
 func (m *endsModel) engineOf(c placer.Choice) *endsEngine {
@@ -43,70 +46,72 @@
 	panic("experimenter: unknown engine " + c.Upstream.ID)
 }
 
-func (m *endsModel) served(r *endsRun) {
+// finishRun completes the run of a harmless request.
+func (m *endsModel) finishRun(r *endsRun) {
 	i := slices.Index(r.engine.runs, r)
 	if i < 0 {
-		return // its engine has ended
+		return // the engine has ended
 	}
 	r.engine.runs = slices.Delete(r.engine.runs, i, i+1)
-	r.choice.Ticket.First(m.time())
-	r.choice.Ticket.Done(m.time(), placer.ResultServed)
-	r.try.host.ledger.Served(m.time(), r.try.id)
-	r.try.ended(r.try, true)
+	r.choice.Ticket.First(m.clock())
+	r.choice.Ticket.Done(m.clock(), placer.ResultServed)
+	r.request.host.ledger.Served(m.clock(), r.request.id)
+	r.request.done(r.request, true)
 }
 
-// endUnder ends an engine by a bad request.
-func (m *endsModel) endUnder(r *endsRun) {
+// endByRequest ends the engine that runs a bad request.
+func (m *endsModel) endByRequest(r *endsRun) {
 	if !slices.Contains(r.engine.runs, r) {
 		return
 	}
 	m.result.Ends++
-	m.ended[r.try.id]++
-	if m.ended[r.try.id] == quarantiner.Bar {
-		m.third[r.try.id] = m.now
+	m.ends[r.request.id]++
+	if m.ends[r.request.id] == quarantiner.Bar {
+		m.barredAt[r.request.id] = m.now
 	}
-	m.end(r.engine)
+	m.endEngine(r.engine)
 }
 
-// end ends an engine with all that runs there.
-func (m *endsModel) end(e *endsEngine) {
+// endEngine ends an engine and all its runs, and schedules its restart.
+func (m *endsModel) endEngine(e *endsEngine) {
 	e.up = false
-	lost, start := e.runs, m.start(e)
+	lost, instance := e.runs, m.instance(e)
 	e.runs = nil
 	for _, r := range lost {
-		t := r.try
-		r.choice.Ticket.Done(m.time(), placer.ResultUnreached)
-		t.host.ledger.Ended(m.time(), t.id, start, r.sent)
-		if !t.bad && !t.cut {
-			t.cut = true
-			m.result.Cut++
+		req := r.request
+		r.choice.Ticket.Done(m.clock(), placer.ResultUnreached)
+		req.host.ledger.Ended(m.clock(), req.id, instance, r.sent)
+		if !req.bad && !req.interrupted {
+			req.interrupted = true
+			m.result.Interrupted++
 		}
 	}
 	for _, r := range lost {
-		m.next(r.try)
+		m.retry(r.request)
 	}
-	m.after(endsBack+time.Duration(m.rng.Int64N(int64(3*endsBack))), func() {
-		m.born++
-		e.born, e.up = m.born, true
-		m.after(endsShown, m.show)
+	m.after(endsMinDowntime+time.Duration(m.rng.Int64N(int64(3*endsMinDowntime))), func() {
+		m.lastBorn++
+		e.born, e.up = m.lastBorn, true
+		m.after(endsDiscoveryDelay, m.updateHosts)
 	})
 }
 
-// next offers a try to another engine, or ends it.
-func (m *endsModel) next(t *endsTry) {
-	if t.sends >= endsSends || t.runs >= endsRuns {
-		t.ended(t, false)
+// retry places a request on another engine, or fails it if its limits are
+// reached.
+func (m *endsModel) retry(req *endsRequest) {
+	if req.sends >= endsMaxSends || req.runs >= endsMaxRuns {
+		req.done(req, false)
 		return
 	}
-	m.choose(t)
+	m.place(req)
 }
 
-// crash lets engines end by themselves.
-func (m *endsModel) crash() {
+// scheduleCrash schedules the next end of an engine for another reason.
+func (m *endsModel) scheduleCrash() {
 	m.after(time.Duration(m.rng.ExpFloat64()/m.opts.Crashes*float64(time.Second)), func() {
 		if e := m.engines[m.rng.IntN(len(m.engines))]; e.up {
-			m.end(e)
+			m.endEngine(e)
 		}
-		m.crash()
+		m.scheduleCrash()
 	})
 }
--- a/experimenter/engine.go
+++ b/experimenter/engine.go
@@ -12,8 +12,8 @@
 	"amaranthgate.example/amaranthgate/keeper"
 )
 
-// world is the virtual time of a simulation of decisions.
-type world struct {
+// eventLoop runs scheduled functions in virtual time.
+type eventLoop struct {
 	now   time.Duration
 	queue eventHeap
 	seq   int
@@ -22,7 +22,7 @@
 type event struct {
 	at  time.Duration
 	seq int
-	f   func()
+	run func()
 }
 
 type eventHeap []event
@@ -43,53 +43,53 @@
 	return e
 }
 
-func (w *world) after(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.queue, event{at: w.now + max(d, 0), seq: w.seq, f: f})
+// after schedules f to run after d.
+func (l *eventLoop) after(d time.Duration, f func()) {
+	l.seq++
+	heap.Push(&l.queue, event{at: l.now + max(d, 0), seq: l.seq, run: f})
 }
 
-// until runs what falls due before a time.
-func (w *world) until(t time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= t {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.f()
+// runUntil runs all functions that are due by t.
+func (l *eventLoop) runUntil(t time.Duration) {
+	for len(l.queue) > 0 && l.queue[0].at <= t {
+		e := heap.Pop(&l.queue).(event)
+		l.now = e.at
+		e.run()
 	}
-	w.now = t
+	l.now = t
 }
 
 // job is a request at an engine.
 type job struct {
-	turn     *turn
-	rank     int
-	seq      int
-	restore  int // restore is the number of leading tokens that the host wants restored.
-	left     int // left is the number of prompt tokens to compute.
-	reused   int
-	onFirst  func()
-	onFinish func()
-}
-
-// simEngine is an engine of the simulation: slots, a prefill that serves in
-// chunks by rank, a prefix cache with least recently used eviction, and a store
-// behind a link.
+	turn      *turn
+	rank      int
+	seq       int
+	restore   int // leading prompt tokens to restore from the store
+	remaining int // prompt tokens still to compute
+	reused    int
+	onFirst   func()
+	onFinish  func()
+}
+
+// simEngine simulates an engine with slots, a chunked prefill in order of rank,
+// an LRU prefix cache, and a store behind a link.
 type simEngine struct {
-	world *world
-	spec  *Spec
-	id    int
-	zone  int
-	down  bool
-
-	running int
-	waiting []*job
-	prefill []*job
-	busy    bool
-	seq     int
-
-	cached map[int]*list.Element // cached is by conversation.
-	order  *list.List
-	used   int
-	kept   map[int]int // kept is the number of tokens of each conversation in the store.
+	loop *eventLoop
+	spec *Spec
+	id   int
+	zone int
+	down bool
+
+	running      int
+	waiting      []*job
+	prefillQueue []*job
+	prefilling   bool
+	seq          int
+
+	cached       map[int]*list.Element // by conversation; values are *cacheEntry
+	lru          *list.List
+	used         int
+	storedTokens map[int]int // tokens in the store by conversation
 
 	linkFree time.Duration
 	linkBusy time.Duration
@@ -101,13 +101,16 @@
 	tokens int
 }
 
-const prefillChunk = 2048
+const prefillChunkTokens = 2048
 
-func newSimEngine(w *world, spec *Spec, id int) *simEngine {
-	return &simEngine{world: w, spec: spec, id: id, zone: id % spec.Zones, cached: make(map[int]*list.Element), order: list.New(), kept: make(map[int]int)}
+func newSimEngine(loop *eventLoop, spec *Spec, id int) *simEngine {
+	return &simEngine{
+		loop: loop, spec: spec, id: id, zone: id % spec.Zones,
+		cached: make(map[int]*list.Element), lru: list.New(), storedTokens: make(map[int]int),
+	}
 }
 
-// cachedTokens returns how much of a conversation is in accelerator memory.
+// cachedTokens returns the tokens of a conversation in accelerator memory.
 func (e *simEngine) cachedTokens(conv int) int {
 	if el := e.cached[conv]; el != nil {
 		return el.Value.(*cacheEntry).tokens
@@ -115,11 +118,11 @@
 	return 0
 }
 
-// backlog returns the number of prompt tokens not yet computed.
-func (e *simEngine) backlog() int {
+// pendingTokens returns the number of prompt tokens not yet computed.
+func (e *simEngine) pendingTokens() int {
 	n := 0
-	for _, j := range e.prefill {
-		n += j.left
+	for _, j := range e.prefillQueue {
+		n += j.remaining
 	}
 	for _, j := range e.waiting {
 		n += j.turn.tokens
@@ -131,14 +134,15 @@
 	e.seq++
 	j.seq = e.seq
 	if e.running < e.spec.Slots {
-		e.begin(j)
+		e.start(j)
 		return
 	}
 	e.waiting = append(e.waiting, j)
 }
 
-// next takes the most urgent job out of a list.
-func next(list []*job) (int, *job) {
+// mostUrgent returns the job with the lowest rank, the oldest of these, and its
+// index. The list must not be empty.
+func mostUrgent(list []*job) (int, *job) {
 	best := 0
 	for i, j := range list {
 		if j.rank < list[best].rank || j.rank == list[best].rank && j.seq < list[best].seq {
@@ -148,81 +152,84 @@
 	return best, list[best]
 }
 
-func (e *simEngine) begin(j *job) {
+func (e *simEngine) start(j *job) {
 	e.running++
 	t := j.turn
 	hit := min(e.cachedTokens(t.conv.id), t.tokens) / keeper.TokensPerBlock * keeper.TokensPerBlock
-	restore := min(j.restore, e.kept[t.conv.id], t.tokens)
+	restore := min(j.restore, e.storedTokens[t.conv.id], t.tokens)
 	j.reused = max(hit, restore)
-	j.left = t.tokens - j.reused
+	j.remaining = t.tokens - j.reused
 	wait := time.Duration(0)
 	if restore > hit {
-		wait = e.useLink(restore - hit)
+		wait = e.transfer(restore - hit)
 	}
-	e.world.after(wait, func() {
-		e.prefill = append(e.prefill, j)
-		e.work()
+	e.loop.after(wait, func() {
+		e.prefillQueue = append(e.prefillQueue, j)
+		e.runPrefill()
 	})
 }
 
-// useLink moves tokens over the link and returns when they have arrived.
-func (e *simEngine) useLink(tokens int) time.Duration {
-	d := time.Duration(float64(tokens) * e.spec.TokenBytes / e.spec.LinkRate * float64(time.Second))
-	e.linkFree = max(e.linkFree, e.world.now) + d
+// transfer sends tokens over the link and returns the time until they arrive.
+func (e *simEngine) transfer(tokens int) time.Duration {
+	d := time.Duration(float64(tokens) * e.spec.BytesPerToken / e.spec.LinkRate * float64(time.Second))
+	e.linkFree = max(e.linkFree, e.loop.now) + d
 	e.linkBusy += d
-	return e.linkFree - e.world.now
+	return e.linkFree - e.loop.now
 }
 
-// work computes the next chunk of the most urgent prompt.
-func (e *simEngine) work() {
-	if e.busy || len(e.prefill) == 0 {
+// runPrefill computes the next chunk of the most urgent prompt.
+func (e *simEngine) runPrefill() {
+	if e.prefilling || len(e.prefillQueue) == 0 {
 		return
 	}
-	e.busy = true
-	_, j := next(e.prefill)
-	chunk := min(j.left, prefillChunk)
-	e.world.after(time.Duration(float64(chunk)/e.spec.Prefill*float64(time.Second)), func() {
-		e.busy = false
-		j.left -= chunk
+	e.prefilling = true
+	_, j := mostUrgent(e.prefillQueue)
+	chunk := min(j.remaining, prefillChunkTokens)
+	e.loop.after(time.Duration(float64(chunk)/e.spec.PrefillRate*float64(time.Second)), func() {
+		e.prefilling = false
+		j.remaining -= chunk
 		e.computed += chunk
-		if j.left == 0 {
-			i := slices.Index(e.prefill, j)
-			e.prefill = slices.Delete(e.prefill, i, i+1)
-			e.first(j)
+		if j.remaining == 0 {
+			i := slices.Index(e.prefillQueue, j)
+			e.prefillQueue = slices.Delete(e.prefillQueue, i, i+1)
+			e.startDecode(j)
 		}
-		e.work()
+		e.runPrefill()
 	})
 }
 
-func (e *simEngine) first(j *job) {
-	e.touch(j.turn.conv.id, j.turn.tokens)
+// startDecode delivers the first token and schedules the end of the answer.
+func (e *simEngine) startDecode(j *job) {
+	e.cachePrefix(j.turn.conv.id, j.turn.tokens)
 	j.onFirst()
-	e.world.after(time.Duration(j.turn.answer)*e.spec.Interval, func() {
+	e.loop.after(time.Duration(j.turn.answer)*e.spec.TokenInterval, func() {
 		e.running--
-		e.touch(j.turn.conv.id, j.turn.tokens+j.turn.answer)
+		e.cachePrefix(j.turn.conv.id, j.turn.tokens+j.turn.answer)
 		j.onFinish()
 		if len(e.waiting) > 0 {
-			i, w := next(e.waiting)
+			i, w := mostUrgent(e.waiting)
 			e.waiting = slices.Delete(e.waiting, i, i+1)
-			e.begin(w)
+			e.start(w)
 		}
 	})
 }
 
-func (e *simEngine) touch(conv, tokens int) {
+// cachePrefix caches tokens of a conversation and evicts the least recently
+// used conversations beyond the capacity.
+func (e *simEngine) cachePrefix(conv, tokens int) {
 	el := e.cached[conv]
 	if el == nil {
-		el = e.order.PushFront(&cacheEntry{conv: conv})
+		el = e.lru.PushFront(&cacheEntry{conv: conv})
 		e.cached[conv] = el
 	}
 	c := el.Value.(*cacheEntry)
 	e.used += tokens - c.tokens
 	c.tokens = tokens
-	e.order.MoveToFront(el)
-	for e.used > e.spec.Cache {
-		last := e.order.Back().Value.(*cacheEntry)
+	e.lru.MoveToFront(el)
+	for e.used > e.spec.CacheTokens {
+		last := e.lru.Back().Value.(*cacheEntry)
 		e.used -= last.tokens
-		e.order.Remove(e.order.Back())
+		e.lru.Remove(e.lru.Back())
 		delete(e.cached, last.conv)
 	}
 }
--- a/experimenter/fleet.go
+++ b/experimenter/fleet.go
@@ -13,62 +13,64 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// FleetScene is what befalls a fleet.
+// FleetScene is a scenario that a simulated fleet goes through.
 type FleetScene string
 
-// The scenes, in the order in which they are played.
+// The scenarios, in the order in which they run.
 const (
-	FleetStart   FleetScene = "Start"   // FleetStart starts all hosts for the first time, within 0.3 s.
-	FleetIdle    FleetScene = "Idle"    // FleetIdle lets time pass.
-	FleetChange  FleetScene = "Change"  // FleetChange writes a configuration.
-	FleetStorm   FleetScene = "Storm"   // FleetStorm changes a fortieth of the upstreams' entries.
-	FleetSeries  FleetScene = "Series"  // FleetSeries stops hosts and starts them again, one after the other.
-	FleetZone    FleetScene = "Zone"    // FleetZone kills all hosts of an availability zone for good.
-	FleetKillAll FleetScene = "KillAll" // FleetKillAll kills all hosts; they are back after a second.
+	FleetStart   FleetScene = "Start"   // all hosts start for the first time
+	FleetIdle    FleetScene = "Idle"    // nothing changes
+	FleetChange  FleetScene = "Change"  // a new configuration is written
+	FleetStorm   FleetScene = "Storm"   // the entries of a fortieth of the upstreams change
+	FleetSeries  FleetScene = "Series"  // hosts restart one after the other
+	FleetZone    FleetScene = "Zone"    // all hosts of an availability zone stop and don't return
+	FleetKillAll FleetScene = "KillAll" // all hosts stop and restart
 )
 
-// FleetScenes are all of them.
-var FleetScenes = []FleetScene{FleetStart, FleetIdle, FleetChange, FleetStorm, FleetSeries, FleetZone, FleetKillAll}
+// FleetScenarios are all scenarios, in the order in which they run.
+var FleetScenarios = []FleetScene{
+	FleetStart, FleetIdle, FleetChange, FleetStorm, FleetSeries, FleetZone, FleetKillAll,
+}
 
-// FleetOptions describe a fleet in virtual time.
+// FleetOptions configure the simulation of a fleet.
 type FleetOptions struct {
 	Hosts     int
 	Upstreams int
 	Zones     int
-	Large     int     // Large is how many hosts of each availability zone are larger than the others.
-	LinkMbps  float64 // LinkMbps is the width of the other hosts' links; larger ones have 1,000.
-	Series    int     // Series is how many hosts FleetSeries starts again.
+	Large     int     // number of large hosts in each availability zone
+	LinkMbps  float64 // bandwidth of the other hosts' links
+	Series    int     // number of hosts that FleetSeries restarts
 	Seed      uint64
-	Progress  func(scene FleetScene, virtual time.Duration) // Progress, if set, is called now and then.
+	Progress  func(scenario FleetScene, virtual time.Duration) // called periodically, if not nil
 }
 
-// FleetResult is what a scene cost.
+// FleetResult is the outcome and the cost of one scenario.
 type FleetResult struct {
-	Scene      FleetScene
-	Took       time.Duration // Took is the time until all hosts agreed again; 0 if they did not.
-	For        time.Duration // For is the simulated time of the scene.
-	Calls      int           // Calls counts calls to the store.
-	StoreBytes int
-	Messages   int // Messages counts those between hosts.
-	Within     int // Within and Between are bytes of messages within and between availability zones.
-	Between    int
-	Standby    FleetRole
-	Active     FleetRole
+	Scenario          FleetScene
+	ConvergedAfter    time.Duration // time until all hosts had the same state; 0 if they did not converge
+	Duration          time.Duration // simulated time
+	StoreCalls        int
+	StoreBytes        int
+	Messages          int // messages between hosts
+	BytesWithinZones  int
+	BytesBetweenZones int
+	Standby           RoleTraffic
+	Active            RoleTraffic
 }
 
-// FleetRole is what hosts of a role received and sent.
-type FleetRole struct {
-	Messages float64 // Messages is the mean of a host's, a second.
-	Bytes    float64 // Bytes is the mean of a host's, a second.
-	Most     int     // Most is the number of bytes of the busiest one, in all.
+// RoleTraffic is the traffic, sent and received, of the hosts of one role.
+type RoleTraffic struct {
+	MessagesPerSecond float64 // mean over the hosts
+	BytesPerSecond    float64 // mean over the hosts
+	MaxBytes          int     // total of the host with the most traffic
 }
 
-// Fleet plays all scenes one after the other.
+// Fleet runs all scenarios one after the other on the same fleet.
 func Fleet(o FleetOptions) []FleetResult {
 	m := newFleetModel(o)
 	var out []FleetResult
-	for _, scene := range FleetScenes {
-		out = append(out, m.play(scene))
+	for _, scenario := range FleetScenarios {
+		out = append(out, m.runScenario(scenario))
 	}
 	return out
 }
@@ -78,30 +80,32 @@
 	mega = 1e6
 )
 
-// PrintFleet writes a table.
+// PrintFleet writes results as a table.
 func PrintFleet(w io.Writer, results []FleetResult) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "scene\tagreed after s\tof s\tstore calls\tstore MB\tmessages\tMB within zones\tMB between\tstandby msg/s\tkB/s\tmost MB\tactive msg/s\tkB/s\tmost MB")
 	for _, r := range results {
-		agreed := "-"
-		if r.Took > 0 {
-			agreed = fmt.Sprintf("%.2f", r.Took.Seconds())
+		converged := "-"
+		if r.ConvergedAfter > 0 {
+			converged = fmt.Sprintf("%.2f", r.ConvergedAfter.Seconds())
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.0f\t%d\t%.2f\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t%.2f\n", r.Scene, agreed, r.For.Seconds(), r.Calls, float64(r.StoreBytes)/mega,
-			r.Messages, float64(r.Within)/mega, float64(r.Between)/mega,
-			r.Standby.Messages, r.Standby.Bytes/kilo, float64(r.Standby.Most)/mega, r.Active.Messages, r.Active.Bytes/kilo, float64(r.Active.Most)/mega)
+		fmt.Fprintf(t, "%s\t%s\t%.0f\t%d\t%.2f\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t%.2f\n",
+			r.Scenario, converged, r.Duration.Seconds(), r.StoreCalls, float64(r.StoreBytes)/mega,
+			r.Messages, float64(r.BytesWithinZones)/mega, float64(r.BytesBetweenZones)/mega,
+			r.Standby.MessagesPerSecond, r.Standby.BytesPerSecond/kilo, float64(r.Standby.MaxBytes)/mega,
+			r.Active.MessagesPerSecond, r.Active.BytesPerSecond/kilo, float64(r.Active.MaxBytes)/mega)
 	}
-	_ = t.Flush() // the writer below tells of its own failures
+	_ = t.Flush() // errors of the underlying writer are the caller's concern
 }
 
-// FleetPoint is the scenes of one size of fleet.
+// FleetPoint holds the results for one number of hosts.
 type FleetPoint struct {
 	Hosts   int
 	Results []FleetResult
 }
 
-// WriteFleetPlot draws the messages of each scene by the number of hosts. The ending of the path
-// decides the format: svg, png or pdf.
+// WriteFleetPlot plots the messages of each scenario by the number of hosts.
+// The extension of path selects the format: svg, png or pdf.
 func WriteFleetPlot(path string, points []FleetPoint) error {
 	p := plot.New()
 	p.Title.Text = "Messages between hosts"
@@ -110,10 +114,12 @@
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
 	p.Legend.Top, p.Legend.Left = true, true
-	for i, scene := range FleetScenes {
+	for i, scenario := range FleetScenarios {
 		var xys plotter.XYs
 		for _, pt := range points {
-			xys = append(xys, plotter.XY{X: float64(pt.Hosts), Y: max(float64(pt.Results[i].Messages)/float64(pt.Hosts), 1)})
+			xys = append(xys, plotter.XY{
+				X: float64(pt.Hosts), Y: max(float64(pt.Results[i].Messages)/float64(pt.Hosts), 1),
+			})
 		}
 		line, err := plotter.NewLine(xys)
 		if err != nil {
@@ -121,7 +127,7 @@
 		}
 		line.Color = plotColors[i%len(plotColors)]
 		p.Add(line)
-		p.Legend.Add(string(scene), line)
+		p.Legend.Add(string(scenario), line)
 	}
 	return p.Save(plotWidth, plotHeight, path)
 }
--- a/experimenter/fleetevents.go
+++ b/experimenter/fleetevents.go
@@ -14,7 +14,7 @@
 type fleetEvent struct {
 	at  time.Time
 	seq int
-	do  func()
+	run func()
 }
 
 type fleetEvents []fleetEvent
@@ -35,29 +35,30 @@
 	return last
 }
 
-func (m *fleetModel) after(d time.Duration, do func()) { m.at(m.now.Add(d), do) }
+func (m *fleetModel) after(d time.Duration, f func()) { m.schedule(m.now.Add(d), f) }
 
-func (m *fleetModel) at(t time.Time, do func()) {
-	m.count++
-	heap.Push(&m.queue, fleetEvent{at: t, seq: m.count, do: do})
+func (m *fleetModel) schedule(t time.Time, f func()) {
+	m.seq++
+	heap.Push(&m.queue, fleetEvent{at: t, seq: m.seq, run: f})
 }
 
-func (m *fleetModel) until(t time.Time) {
+func (m *fleetModel) runUntil(t time.Time) {
 	for len(m.queue) > 0 && !m.queue[0].at.After(t) {
 		e := heap.Pop(&m.queue).(fleetEvent)
 		m.now = e.at
-		e.do()
+		e.run()
 	}
 	m.now = t
-	clear(m.sizes)
+	clear(m.encodedSizes)
 }
 
-// every has a host handle an event again and again, as long as it lives.
-func (m *fleetModel) every(h *fleetHost, d time.Duration, ev func() conductor.Event) {
-	life := h.life
+// handleEvery has a host handle an event periodically until it stops. The
+// first event has a random phase.
+func (m *fleetModel) handleEvery(h *fleetHost, d time.Duration, ev func() conductor.Event) {
+	incarnation := h.incarnation
 	var next func()
 	next = func() {
-		if h.life == life {
+		if h.incarnation == incarnation {
 			m.handle(h, ev())
 			m.after(d, next)
 		}
@@ -65,48 +66,53 @@
 	m.after(time.Duration(m.rng.Int64N(int64(d))), next)
 }
 
-// later has a host handle an event, if it still lives then.
-func (m *fleetModel) later(h *fleetHost, t time.Time, ev func() conductor.Event) {
-	life := h.life
-	m.at(t, func() {
-		if h.life == life {
+// handleAt has a host handle an event at a time, unless it stops before.
+func (m *fleetModel) handleAt(h *fleetHost, t time.Time, ev func() conductor.Event) {
+	incarnation := h.incarnation
+	m.schedule(t, func() {
+		if h.incarnation == incarnation {
 			m.handle(h, ev())
 		}
 	})
 }
 
-// send carries a message over both hosts' links. A connection is made before the first.
+// send transmits a message over both hosts' links. The first message to an
+// incarnation of a host also sets up a connection.
 func (m *fleetModel) send(from *fleetHost, name string, msg *messenger.Message) {
-	to := m.named[name]
+	to := m.hostsByName[name]
 	if to == nil || to.node == nil {
 		return
 	}
-	size, ok := m.sizes[msg]
+	size, ok := m.encodedSizes[msg]
 	if !ok {
 		size = len(messenger.Encode(msg))
-		m.sizes[msg] = size
+		m.encodedSizes[msg] = size
 	}
-	delay := fleetAcross
+	delay := fleetCrossZoneLatency
 	if from.zone == to.zone {
-		delay = fleetInZone
+		delay = fleetZoneLatency
 	}
-	if from.linked[name] != to.life {
-		from.linked[name] = to.life
-		m.later(from, m.now.Add(3*delay), func() conductor.Event { return conductor.PeerUp{Host: name, Address: name} })
+	if from.connected[name] != to.incarnation {
+		from.connected[name] = to.incarnation
+		m.handleAt(from, m.now.Add(3*delay), func() conductor.Event {
+			return conductor.PeerUp{Host: name, Address: name}
+		})
 	}
-	m.charge(from, to, size)
-	from.out = taken(m.now, from.out, size, from.mbps)
-	to.in = taken(from.out.Add(delay), to.in, size, to.mbps)
-	m.later(to, to.in, func() conductor.Event { return conductor.PeerMessage{From: from.name, Message: msg} })
+	m.countMessage(from, to, size)
+	from.sendFree = linkFreeAt(m.now, from.sendFree, size, from.mbps)
+	to.receiveFree = linkFreeAt(from.sendFree.Add(delay), to.receiveFree, size, to.mbps)
+	m.handleAt(to, to.receiveFree, func() conductor.Event {
+		return conductor.PeerMessage{From: from.name, Message: msg}
+	})
 }
 
-// charge counts a message for both hosts.
-func (m *fleetModel) charge(from, to *fleetHost, size int) {
-	m.sum.Messages++
+// countMessage adds a message to the totals and to both hosts.
+func (m *fleetModel) countMessage(from, to *fleetHost, size int) {
+	m.result.Messages++
 	if from.zone == to.zone {
-		m.sum.Within += size
+		m.result.BytesWithinZones += size
 	} else {
-		m.sum.Between += size
+		m.result.BytesBetweenZones += size
 	}
 	for _, h := range []*fleetHost{from, to} {
 		h.messages++
@@ -114,8 +120,9 @@
 	}
 }
 
-// taken returns when a link has carried some bytes that come at a time.
-func taken(at, free time.Time, bytes int, mbps float64) time.Time {
+// linkFreeAt returns the time at which a link, free from a given time on, has
+// transmitted a message that is ready at time at.
+func linkFreeAt(at, free time.Time, bytes int, mbps float64) time.Time {
 	if free.After(at) {
 		at = free
 	}
--- a/experimenter/fleetstore.go
+++ b/experimenter/fleetstore.go
@@ -14,53 +14,61 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// answer ends a host's calls to the store.
-func (m *fleetModel) answer(h *fleetHost, calls int, ev func() conductor.Event) {
-	m.sum.Calls += calls
-	m.later(h, m.now.Add(time.Duration(calls)*fleetAnswer), ev)
+// reply counts calls to the store and delivers their result to a host.
+func (m *fleetModel) reply(h *fleetHost, calls int, ev func() conductor.Event) {
+	m.result.StoreCalls += calls
+	m.handleAt(h, m.now.Add(time.Duration(calls)*fleetStoreLatency), ev)
 }
 
-func (m *fleetModel) find(after string) conductor.HostsFound {
-	from, found := slices.BinarySearch(m.order, after)
+// announcementPage returns the page of announcements after a host name.
+func (m *fleetModel) announcementPage(after string) conductor.HostsFound {
+	from, found := slices.BinarySearch(m.announced, after)
 	if found {
 		from++
 	}
-	to := min(from+fleetPage, len(m.order))
+	to := min(from+fleetPageRecords, len(m.announced))
 	var ev conductor.HostsFound
-	for _, name := range m.order[from:to] {
-		ev.Hosts = append(ev.Hosts, m.cards[name])
+	for _, name := range m.announced[from:to] {
+		ev.Hosts = append(ev.Hosts, m.announcements[name])
 	}
-	if to < len(m.order) {
-		ev.Next = m.order[to-1]
+	if to < len(m.announced) {
+		ev.Next = m.announced[to-1]
 	}
 	return ev
 }
 
-var errFleetBusy = errors.New("turned away")
+var errFleetOverloaded = errors.New("experimenter: the store is overloaded")
 
-// announce appends a host's announcement, behind those that wait.
+// announce appends a host's announcement after the queued ones.
 func (m *fleetModel) announce(h *fleetHost) {
-	m.sum.Calls++
-	if m.free.Before(m.now) {
-		m.free = m.now
+	m.result.StoreCalls++
+	if m.appendsFree.Before(m.now) {
+		m.appendsFree = m.now
 	}
-	if m.free.Sub(m.now) > fleetQueue {
-		m.later(h, m.now.Add(fleetAnswer), func() conductor.Event { return conductor.Announced{Err: errFleetBusy} })
+	if m.appendsFree.Sub(m.now) > fleetMaxAppendWait {
+		m.handleAt(h, m.now.Add(fleetStoreLatency), func() conductor.Event {
+			return conductor.Announced{Err: errFleetOverloaded}
+		})
 		return
 	}
-	m.free = m.free.Add(fleetAppend)
-	card := tracker.HostRecord{Host: h.name, AvailabilityZone: h.zone, State: tracker.HostLive, Peers: h.name, Callers: h.name, Cores: h.cores, LinkMbps: h.mbps}
-	m.at(m.free, func() {
-		if at, found := slices.BinarySearch(m.order, h.name); !found {
-			m.order = slices.Insert(m.order, at, h.name)
+	m.appendsFree = m.appendsFree.Add(fleetAppendTime)
+	record := tracker.HostRecord{
+		Host: h.name, AvailabilityZone: h.zone, State: tracker.HostLive,
+		Peers: h.name, Callers: h.name, Cores: h.cores, LinkMbps: h.mbps,
+	}
+	m.schedule(m.appendsFree, func() {
+		if at, found := slices.BinarySearch(m.announced, h.name); !found {
+			m.announced = slices.Insert(m.announced, at, h.name)
 		}
-		m.cards[h.name] = card
+		m.announcements[h.name] = record
 	})
-	m.later(h, m.free, func() conductor.Event { return conductor.Announced{} })
+	m.handleAt(h, m.appendsFree, func() conductor.Event { return conductor.Announced{} })
 }
 
+// read serves a host's read of a feed: the full listing, or the records from
+// an offset on once there are any or the wait has passed.
 func (m *fleetModel) read(h *fleetHost, a conductor.Read) {
-	asked, life := m.now, h.life
+	asked, incarnation := m.now, h.incarnation
 	if a.Full {
 		var listed map[string]follower.Record
 		log := m.logs[a.Feed]
@@ -68,28 +76,30 @@
 		for _, r := range log {
 			listed[r.Key] = r
 		}
-		m.answer(h, 1+len(listed)/fleetPage, func() conductor.Event {
+		m.reply(h, 1+len(listed)/fleetPageRecords, func() conductor.Event {
 			news := follower.News{Feed: a.Feed, Full: true, Next: int64(len(log))}
 			for _, r := range listed {
 				news.Records = append(news.Records, r)
-				m.sum.StoreBytes += len(r.Value)
+				m.result.StoreBytes += len(r.Value)
 			}
 			return conductor.FeedRead{News: news, Asked: asked, Wait: a.Wait}
 		})
 		return
 	}
-	m.sum.Calls++
+	m.result.StoreCalls++
 	answered := false
 	answer := func() {
-		if answered || h.life != life {
+		if answered || h.incarnation != incarnation {
 			return
 		}
 		answered = true
-		m.later(h, m.now.Add(fleetAnswer), func() conductor.Event {
+		m.handleAt(h, m.now.Add(fleetStoreLatency), func() conductor.Event {
 			log := m.logs[a.Feed]
-			news := follower.News{Feed: a.Feed, From: a.From, Next: int64(len(log)), Records: log[min(a.From, int64(len(log))):]}
+			news := follower.News{
+				Feed: a.Feed, From: a.From, Next: int64(len(log)), Records: log[min(a.From, int64(len(log))):],
+			}
 			for _, r := range news.Records {
-				m.sum.StoreBytes += len(r.Value)
+				m.result.StoreBytes += len(r.Value)
 			}
 			return conductor.FeedRead{News: news, Asked: asked, Wait: a.Wait}
 		})
@@ -98,6 +108,6 @@
 		answer()
 		return
 	}
-	m.reads[a.Feed] = append(m.reads[a.Feed], answer)
+	m.waitingReads[a.Feed] = append(m.waitingReads[a.Feed], answer)
 	m.after(a.Wait, answer)
 }
--- a/experimenter/forward.go
+++ b/experimenter/forward.go
@@ -25,29 +25,29 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// ForwardOptions set up the measurement of what forwarding costs.
+// ForwardOptions configure the measurement of forwarding overhead.
 type ForwardOptions struct {
-	Rate    float64       // Rate is the number of requests per second, half of them direct.
-	For     time.Duration // For is how long each phase lasts.
-	Tokens  int           // Tokens is the number of tokens of each answer.
-	Streams int           // Streams is the number of streams open at once for the memory of each.
-	Prompt  int           // Prompt is the length of a prompt in bytes.
-	Spacing time.Duration // Spacing is the time between tokens of an answer.
+	Rate    float64       // requests per second, half of them direct
+	For     time.Duration // duration of the measurement of times to first token
+	Tokens  int           // tokens of an answer
+	Streams int           // concurrent streams for the measurement of memory
+	Prompt  int           // bytes of a prompt
+	Spacing time.Duration // time between tokens of an answer
 }
 
-// ForwardResult is what forwarding costs.
+// ForwardResult is the overhead of forwarding.
 type ForwardResult struct {
-	Direct       *Times // Direct is the time to first token against the engine itself.
-	Through      *Times // Through is the time to first token through a host.
-	Failed       int
-	PerToken     time.Duration // PerToken is the processor time that a host takes for one token.
-	PerStream    int64         // PerStream is the memory that a host takes for one open stream, in bytes.
-	DirectToken  time.Duration // DirectToken is the processor time of engine and client alone.
-	ThroughToken time.Duration // ThroughToken is that of engine, client and host.
+	Direct             *Histogram // time to first token of direct calls to the engine
+	Through            *Histogram // time to first token through a host
+	Failed             int
+	CPUPerToken        time.Duration // CPU time of a host for one token
+	BytesPerStream     int64         // memory of a host for one open stream
+	DirectCPUPerToken  time.Duration // CPU time of engine and client
+	ThroughCPUPerToken time.Duration // CPU time of engine, client and host
 }
 
-// Forward measures a host against direct calls to the same engine, both in one
-// run and interleaved at random.
+// Forward compares calls through a host with direct calls to the same engine,
+// interleaved at random.
 func Forward(ctx context.Context, opts ForwardOptions) (ForwardResult, error) {
 	var res ForwardResult
 	d, err := deployment.Start(ctx, deployment.Options{
@@ -62,17 +62,17 @@
 		return res, err
 	}
 	defer d.Close()
-	time.Sleep(3 * time.Second) // grants of the limits have come
+	time.Sleep(3 * time.Second) // until the hosts have been granted their shares of the limits
 	direct, through := d.Document.Upstreams[0].Address, d.Callers(0)
 	res.Direct, res.Through, res.Failed = firstTokens(ctx, direct, through, opts)
-	if res.DirectToken, err = tokenCost(ctx, direct, opts); err != nil {
+	if res.DirectCPUPerToken, err = cpuPerToken(ctx, direct, opts); err != nil {
 		return res, err
 	}
-	if res.ThroughToken, err = tokenCost(ctx, through, opts); err != nil {
+	if res.ThroughCPUPerToken, err = cpuPerToken(ctx, through, opts); err != nil {
 		return res, err
 	}
-	res.PerToken = res.ThroughToken - res.DirectToken
-	res.PerStream, err = streamCost(ctx, direct, through, opts.Streams)
+	res.CPUPerToken = res.ThroughCPUPerToken - res.DirectCPUPerToken
+	res.BytesPerStream, err = memoryPerStream(ctx, direct, through, opts.Streams)
 	return res, err
 }
 
@@ -81,9 +81,12 @@
 }
 
 // firstTokens sends requests at a fixed rate, each at random to the engine or
-// to the host, and returns the times to first token.
-func firstTokens(ctx context.Context, direct, through string, opts ForwardOptions) (*Times, *Times, int) {
-	times := [2]*Times{NewTimes(), NewTimes()}
+// to the host. It returns the times to first token of both and the number of
+// failed requests.
+func firstTokens(
+	ctx context.Context, direct, through string, opts ForwardOptions,
+) (*Histogram, *Histogram, int) {
+	times := [2]*Histogram{NewHistogram(), NewHistogram()}
 	addresses := [2]string{direct, through}
 	rng := rand.New(rand.NewPCG(1, 2))
 	client := newHTTPClient()
@@ -105,7 +108,7 @@
 				failed++
 				return
 			}
-			if i > int(opts.Rate) { // the first second warms up
+			if i > int(opts.Rate) { // the first second is for warm-up
 				times[side].Add(first)
 			}
 		}()
@@ -124,8 +127,13 @@
 
 // stream sends one prompt and returns the time to first token and the number of
 // events.
-func stream(ctx context.Context, client *http.Client, address, prompt string, tokens int) (time.Duration, int, error) {
-	body, err := json.Marshal(wire.CompletionRequest{Model: deployment.Model, Prompt: prompt, MaxTokens: tokens, Stream: true, StreamOptions: &wire.StreamOptions{IncludeUsage: true}})
+func stream(
+	ctx context.Context, client *http.Client, address, prompt string, tokens int,
+) (time.Duration, int, error) {
+	body, err := json.Marshal(wire.CompletionRequest{
+		Model: deployment.Model, Prompt: prompt, MaxTokens: tokens,
+		Stream: true, StreamOptions: &wire.StreamOptions{IncludeUsage: true},
+	})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -142,7 +150,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
-		return 0, 0, errors.Errorf("status %d", resp.StatusCode)
+		return 0, 0, errors.Errorf("experimenter: unexpected status %d", resp.StatusCode)
 	}
 	var first time.Duration
 	events := 0
@@ -159,9 +167,9 @@
 	return first, events, lines.Err()
 }
 
-// tokenCost returns the processor time of the whole process for one token of
-// long streams.
-func tokenCost(ctx context.Context, address string, opts ForwardOptions) (time.Duration, error) {
+// cpuPerToken returns the CPU time of the whole process for one token of long
+// streams.
+func cpuPerToken(ctx context.Context, address string, opts ForwardOptions) (time.Duration, error) {
 	streams, tokens := 64, 2000
 	if opts.Spacing > 0 {
 		streams, tokens = 640, 200
@@ -170,7 +178,7 @@
 	if _, _, err := stream(ctx, client, address, "warm up", tokens); err != nil {
 		return 0, err
 	}
-	before := processorTime()
+	before := cpuTime()
 	var all sync.WaitGroup
 	errs := make(chan error, streams)
 	for i := range streams {
@@ -187,11 +195,11 @@
 	if err := <-errs; err != nil {
 		return 0, err
 	}
-	return (processorTime() - before) / time.Duration(streams*tokens), nil
+	return (cpuTime() - before) / time.Duration(streams*tokens), nil
 }
 
-// processorTime returns the processor time of this process so far.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -199,26 +207,26 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// streamCost returns the memory that a host takes for one open stream: heap and
-// stacks with streams through the host, less the same with direct ones.
-func streamCost(ctx context.Context, direct, through string, n int) (int64, error) {
+// memoryPerStream returns the memory of a host for one open stream: heap and
+// stacks with streams through the host, less those with direct streams.
+func memoryPerStream(ctx context.Context, direct, through string, n int) (int64, error) {
 	if n == 0 {
 		return 0, nil
 	}
-	a, err := heldMemory(ctx, direct, n)
+	a, err := openStreamsMemory(ctx, direct, n)
 	if err != nil {
 		return 0, err
 	}
-	b, err := heldMemory(ctx, through, n)
+	b, err := openStreamsMemory(ctx, through, n)
 	return (b - a) / int64(n), err
 }
 
-// heldMemory opens streams that do not end and returns the memory they take.
-func heldMemory(ctx context.Context, address string, n int) (int64, error) {
+// openStreamsMemory returns the memory that n open streams take.
+func openStreamsMemory(ctx context.Context, address string, n int) (int64, error) {
 	client := newHTTPClient()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	before := memory()
+	before := usedMemory()
 	bodies := make([]io.ReadCloser, 0, n)
 	defer func() {
 		cancel()
@@ -229,21 +237,24 @@
 		time.Sleep(time.Second)
 	}()
 	for i := range n {
-		body, err := hold(ctx, client, address, i)
+		body, err := openStream(ctx, client, address, i)
 		if err != nil {
 			return 0, err
 		}
 		bodies = append(bodies, body)
 	}
-	return memory() - before, nil
+	return usedMemory() - before, nil
 }
 
-// heldTokens is the length of streams that are never read to their end: more
-// than the buffers between engine and caller can take.
-const heldTokens = 1 << 20
+// unreadTokens is the length of streams that are opened but not read: more than
+// the buffers between engine and caller hold.
+const unreadTokens = 1 << 20
 
-func hold(ctx context.Context, client *http.Client, address string, i int) (io.ReadCloser, error) {
-	body, err := json.Marshal(wire.CompletionRequest{Model: deployment.Model, Prompt: fmt.Sprintf("held %d", i), MaxTokens: heldTokens, Stream: true})
+// openStream starts a stream and returns its body unread.
+func openStream(ctx context.Context, client *http.Client, address string, i int) (io.ReadCloser, error) {
+	body, err := json.Marshal(wire.CompletionRequest{
+		Model: deployment.Model, Prompt: fmt.Sprintf("held %d", i), MaxTokens: unreadTokens, Stream: true,
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -258,12 +269,13 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, errors.Errorf("status %d", resp.StatusCode)
+		return nil, errors.Errorf("experimenter: unexpected status %d", resp.StatusCode)
 	}
 	return resp.Body, nil
 }
 
-func memory() int64 {
+// usedMemory returns the bytes of heap and stacks after garbage collection.
+func usedMemory() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -274,11 +286,13 @@
 // Print writes a result as a table.
 func (r ForwardResult) Print(w io.Writer) {
 	fmt.Fprintf(w, "time to first token, direct   %s  (%d requests)\n", r.Direct, r.Direct.Count())
-	fmt.Fprintf(w, "time to first token, a host   %s  (%d requests, %d failed)\n", r.Through, r.Through.Count(), r.Failed)
+	fmt.Fprintf(w, "time to first token, a host   %s  (%d requests, %d failed)\n",
+		r.Through, r.Through.Count(), r.Failed)
 	for _, q := range []float64{0.5, 0.95, 0.99} {
-		a, b := r.Direct.At(q), r.Through.At(q)
+		a, b := r.Direct.Quantile(q), r.Through.Quantile(q)
 		fmt.Fprintf(w, "added at p%02.0f                  %s (ratio %.2f)\n", q*100, round(b-a), float64(b)/float64(a))
 	}
-	fmt.Fprintf(w, "processor time for a token    %s (with host %s, without %s)\n", round(r.PerToken), round(r.ThroughToken), round(r.DirectToken))
-	fmt.Fprintf(w, "memory for an open stream     %d bytes\n", r.PerStream)
+	fmt.Fprintf(w, "processor time for a token    %s (with host %s, without %s)\n",
+		round(r.CPUPerToken), round(r.ThroughCPUPerToken), round(r.DirectCPUPerToken))
+	fmt.Fprintf(w, "memory for an open stream     %d bytes\n", r.BytesPerStream)
 }
--- a/experimenter/host.go
+++ b/experimenter/host.go
@@ -12,14 +12,14 @@
 	"amaranthgate.example/amaranthgate/scheduler"
 )
 
-// arrive takes a request of a caller.
+// arrive dispatches or queues a request.
 func (h *simHost) arrive(t *turn) {
 	s := h.sim
 	class := s.classes[t.conv.class]
 	if s.now >= s.spec.Warm {
 		s.requests++
 	}
-	if s.policy.NoQueue || h.queue.Len() == 0 && h.room(class.Rank) {
+	if s.policy.NoQueue || h.queue.Len() == 0 && h.hasRoom(class.Rank) {
 		h.dispatch(t)
 		return
 	}
@@ -33,32 +33,32 @@
 	h.drain()
 }
 
-// excluded returns the engines that a rank may not use.
+// excluded reports for each engine whether it is reserved for higher ranks.
 func (h *simHost) excluded(rank int) []bool {
-	if h.sim.policy.Share {
+	if h.sim.policy.SharedSlots {
 		return nil
 	}
-	return router.Reserved(h.pool, configurer.ReservedAbove(h.sim.classes, rank))
+	return router.Reserved(h.targets, configurer.ReservedAbove(h.sim.classes, rank))
 }
 
-// room reports whether a request of a rank may start.
-func (h *simHost) room(rank int) bool {
-	if !h.sim.policy.Share {
-		requests, slots := router.OccupancyWithout(h.pool, h.excluded(rank))
-		return requests < slots*overcommit
+// hasRoom reports whether a request of a rank may start.
+func (h *simHost) hasRoom(rank int) bool {
+	if !h.sim.policy.SharedSlots {
+		requests, slots := router.OccupancyWithout(h.targets, h.excluded(rank))
+		return requests < slots*slotOvercommit
 	}
-	requests, slots := router.Occupancy(h.pool)
+	requests, slots := router.Occupancy(h.targets)
 	free := 1.0
 	for _, c := range h.sim.classes {
 		if c.Rank < rank {
 			free -= c.Reserved
 		}
 	}
-	return requests < slots*free*overcommit
+	return requests < slots*free*slotOvercommit
 }
 
-// drain starts the waiting requests for which there is room and refuses those
-// that are late.
+// drain starts queued requests while there is room and refuses those past their
+// deadline.
 func (h *simHost) drain() {
 	s := h.sim
 	for _, it := range h.queue.Late(s.clock()) {
@@ -68,7 +68,7 @@
 		delete(h.waiting, it)
 	}
 	for h.queue.Len() > 0 {
-		it := h.queue.Pop(func(it *scheduler.Item) bool { return h.room(it.Rank) })
+		it := h.queue.Pop(func(it *scheduler.Item) bool { return h.hasRoom(it.Rank) })
 		if it == nil {
 			return
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-// dispatch routes a request and follows it to its end.
+// dispatch routes a request and submits it to an engine.
 func (h *simHost) dispatch(t *turn) {
 	s := h.sim
 	i, d := h.choose(t)
@@ -87,14 +87,14 @@
 	started := s.now
 	tokens := t.tokens - d.Reused
 	m.Start(tokens)
-	delay := hop
+	delay := hopLatency
 	if e.zone != h.zone {
 		delay *= 2
 	}
-	if e.down { // the connection fails; another attempt follows
+	if e.down { // the connection fails; retry
 		s.after(delay, func() {
 			m.Finish(delay)
-			h.pool[i].Usable = false
+			h.targets[i].Usable = false
 			h.dispatch(t)
 		})
 		return
@@ -102,15 +102,15 @@
 	j := &job{turn: t, rank: s.classes[t.conv.class].Rank, restore: d.Restore}
 	j.onFirst = func() {
 		m.FirstToken(tokens)
-		s.served(t, j, s.now+delay-t.at)
-		h.placed(t.chain, i, d.First)
+		s.recordServed(t, j, s.now+delay-t.at)
+		h.recordPlacement(t.chain, i, d.First)
 	}
 	j.onFinish = func() {
 		if s.policy.NoAnswers {
-			h.keep(t.chain, t, i)
+			h.recordTurn(t.chain, t, i)
 		} else {
-			h.placed(t.after, i, d.First)
-			h.keep(t.after, t, i)
+			h.recordPlacement(t.after, i, d.First)
+			h.recordTurn(t.after, t, i)
 		}
 		m.Finish(s.now - started)
 		h.drain()
@@ -118,28 +118,31 @@
 	s.after(delay, func() { e.submit(j) })
 }
 
-// choose returns the engine and the decision that led to it.
+// choose returns the index of an engine and the routing decision.
 func (h *simHost) choose(t *turn) (int, router.Decision) {
 	s := h.sim
-	if s.policy.Pick != PickRouter {
+	if s.policy.Baseline != BaselineNone {
 		i := h.baseline(t)
-		return i, router.Decision{Target: i, Restore: h.worthRestoring(t, i), First: true}
+		return i, router.Decision{Target: i, Restore: h.restoreTokens(t, i), First: true}
+	}
+	req := router.Request{
+		Key: t.conv.key, Tokens: t.tokens, Weights: s.spec.Weights,
+		Exclude: h.excluded(s.classes[t.conv.class].Rank),
 	}
-	req := router.Request{Key: t.conv.key, Tokens: t.tokens, Weights: s.spec.Weights, Exclude: h.excluded(s.classes[t.conv.class].Rank)}
 	if s.policy.Perfect {
-		h.truth(t, &req)
+		h.fillExact(t, &req)
 	} else {
-		h.known(t, &req)
+		h.fillFromIndex(t, &req)
 	}
-	d, ok := h.router.Route(h.pool, &req)
+	d, ok := h.router.Route(h.targets, &req)
 	if !ok {
 		return s.rng.IntN(len(s.engines)), d
 	}
 	return d.Target, d
 }
 
-// known fills in what this host's index knows.
-func (h *simHost) known(t *turn, req *router.Request) {
+// fillFromIndex fills in the holdings that this host's index knows.
+func (h *simHost) fillFromIndex(t *turn, req *router.Request) {
 	h.index.Lookup(h.sim.clock(), t.chain, &h.lookup)
 	req.Known = h.lookup.Known * keeper.TokensPerBlock
 	h.holdings = h.holdings[:0]
@@ -151,14 +154,18 @@
 	req.Holdings = h.holdings
 }
 
-// truth fills in what is, instantly.
-func (h *simHost) truth(t *turn, req *router.Request) {
-	req.Known = t.known
+// fillExact fills in the exact holdings and loads of all engines.
+func (h *simHost) fillExact(t *turn, req *router.Request) {
+	req.Known = t.repeated
 	h.holdings = h.holdings[:0]
 	for i, e := range h.sim.engines {
-		h.pool[i].Peers = router.PeerLoad{Fresh: true, Requests: e.running + len(e.waiting) - h.meters[i].InFlight(), Tokens: e.backlog() - h.meters[i].Pending()}
-		h.pool[i].Usable = !e.down
-		cached, kept := min(e.cachedTokens(t.conv.id), t.tokens), min(e.kept[t.conv.id], t.tokens)
+		h.targets[i].Peers = router.PeerLoad{
+			Fresh:    true,
+			Requests: e.running + len(e.waiting) - h.meters[i].InFlight(),
+			Tokens:   e.pendingTokens() - h.meters[i].Pending(),
+		}
+		h.targets[i].Usable = !e.down
+		cached, kept := min(e.cachedTokens(t.conv.id), t.tokens), min(e.storedTokens[t.conv.id], t.tokens)
 		if cached > 0 || kept > 0 {
 			h.holdings = append(h.holdings, router.Holding{Target: i, Cached: cached, Kept: max(cached, kept)})
 		}
@@ -166,27 +173,28 @@
 	req.Holdings = h.holdings
 }
 
-// baseline chooses without the router.
+// baseline chooses an engine with the policy's baseline.
 func (h *simHost) baseline(t *turn) int {
 	s := h.sim
 	best := -1
-	for n := range h.pool {
+	for n := range h.targets {
 		i := n
-		if !h.pool[i].Usable {
+		if !h.targets[i].Usable {
 			continue
 		}
-		switch s.policy.Pick {
-		case PickRandom:
-			return h.usable(s.rng.IntN(len(h.pool)))
-		case PickRoundRobin:
-			s.robin++
-			return h.usable(s.robin % len(h.pool))
-		case PickLeastLoad:
+		switch s.policy.Baseline {
+		case BaselineRandom:
+			return h.nextUsable(s.rng.IntN(len(h.targets)))
+		case BaselineRoundRobin:
+			s.roundRobin++
+			return h.nextUsable(s.roundRobin % len(h.targets))
+		case BaselineLeastLoad:
 			if best < 0 || h.occupancy(i) < h.occupancy(best) {
 				best = i
 			}
-		case PickRendezvous:
-			if best < 0 || router.Rendezvous(h.pool[i].Hash, t.conv.key) > router.Rendezvous(h.pool[best].Hash, t.conv.key) {
+		case BaselineRendezvous:
+			if best < 0 ||
+				router.Rendezvous(h.targets[i].Hash, t.conv.key) > router.Rendezvous(h.targets[best].Hash, t.conv.key) {
 				best = i
 			}
 		}
@@ -194,10 +202,11 @@
 	return max(best, 0)
 }
 
-// usable returns the first usable engine from i on.
-func (h *simHost) usable(i int) int {
-	for n := range h.pool {
-		if k := (i + n) % len(h.pool); h.pool[k].Usable {
+// nextUsable returns the first usable engine from i on, cyclically, or i if
+// there is none.
+func (h *simHost) nextUsable(i int) int {
+	for n := range h.targets {
+		if k := (i + n) % len(h.targets); h.targets[k].Usable {
 			return k
 		}
 	}
@@ -205,26 +214,28 @@
 }
 
 func (h *simHost) occupancy(i int) float64 {
-	requests, _ := router.Occupancy(h.pool[i : i+1])
+	requests, _ := router.Occupancy(h.targets[i : i+1])
 	return requests
 }
 
-// worthRestoring is the engine's own decision for the baselines: to restore
-// what its store has if that is faster than to compute it.
-func (h *simHost) worthRestoring(t *turn, i int) int {
+// restoreTokens returns the number of leading tokens that a baseline's engine
+// restores from its store: all of them if that is faster than prefill, or 0.
+func (h *simHost) restoreTokens(t *turn, i int) int {
 	s := h.sim
 	e := s.engines[i]
-	kept := min(e.kept[t.conv.id], t.tokens)
+	kept := min(e.storedTokens[t.conv.id], t.tokens)
 	missing := kept - min(e.cachedTokens(t.conv.id), t.tokens)
-	link := max(0, e.linkFree-s.now).Seconds() + float64(missing)*s.spec.TokenBytes/s.spec.LinkRate
-	if missing <= 0 || link > float64(missing)/s.spec.Prefill {
+	link := max(0, e.linkFree-s.now).Seconds() + float64(missing)*s.spec.BytesPerToken/s.spec.LinkRate
+	if missing <= 0 || link > float64(missing)/s.spec.PrefillRate {
 		return 0
 	}
 	return kept
 }
 
-// placed tells the index and the other hosts what an engine has computed.
-func (h *simHost) placed(chain keeper.Chain, i int, first bool) {
+// recordPlacement adds the blocks that an engine has computed to the index, and
+// to the indexes of the other hosts if they cannot derive the placement from the
+// key.
+func (h *simHost) recordPlacement(chain keeper.Chain, i int, first bool) {
 	s := h.sim
 	n := chain.Len()
 	if n == 0 {
@@ -243,8 +254,8 @@
 	}
 }
 
-// keep tells the store's plan about the end of a turn.
-func (h *simHost) keep(chain keeper.Chain, t *turn, i int) {
+// recordTurn reports the end of a turn to the store's plan.
+func (h *simHost) recordTurn(chain keeper.Chain, t *turn, i int) {
 	s := h.sim
 	n := chain.Len()
 	if s.policy.NoExport || n == 0 {
@@ -255,27 +266,27 @@
 	if from == n {
 		return
 	}
-	tn := keeper.Turn{Upstream: name, From: from, Chance: s.spec.Classes[t.conv.class].Return}
+	tn := keeper.Turn{Upstream: name, From: from, Chance: s.spec.Classes[t.conv.class].ReturnProbability}
 	if from > 0 {
 		tn.Parent = chain.Raw(from - 1)
 	}
 	for b := from; b < n; b++ {
 		tn.Blocks = append(tn.Blocks, chain.Raw(b))
 	}
-	s.convOf[chain.Raw(n-1)] = blockOwner{conv: t.conv.id, tokens: n * keeper.TokensPerBlock}
+	s.blockOwners[chain.Raw(n-1)] = blockOwner{conv: t.conv.id, tokens: n * keeper.TokensPerBlock}
 	s.stores[i].Turn(s.clock(), tn)
 }
 
-// served counts an answered request.
-func (s *simulation) served(t *turn, j *job, took time.Duration) {
+// recordServed adds an answered request to the results.
+func (s *simulation) recordServed(t *turn, j *job, took time.Duration) {
 	if t.at < s.spec.Warm {
 		return
 	}
 	s.times[t.conv.class].Add(took)
-	whole := t.known / keeper.TokensPerBlock * keeper.TokensPerBlock
-	s.before += float64(whole)
-	s.again += float64(max(0, whole-j.reused))
-	ideal := float64(t.tokens-whole)/s.spec.Prefill + hop.Seconds()
-	s.ideal[t.conv.workspace] += ideal / max(took.Seconds(), ideal)
-	s.idealCount[t.conv.workspace]++
+	whole := t.repeated / keeper.TokensPerBlock * keeper.TokensPerBlock
+	s.repeatedTokens += float64(whole)
+	s.recomputedTokens += float64(max(0, whole-j.reused))
+	ideal := float64(t.tokens-whole)/s.spec.PrefillRate + hopLatency.Seconds()
+	s.idealRatios[t.conv.workspace] += ideal / max(took.Seconds(), ideal)
+	s.idealRatioCounts[t.conv.workspace]++
 }
--- a/experimenter/leaving.go
+++ b/experimenter/leaving.go
@@ -15,18 +15,18 @@
 // leavingTimeout bounds the wait for one engine.
 const leavingTimeout = 20 * time.Second
 
-// Leaving lets engines say one after the other that they are leaving, at moments
-// that have nothing to do with the hosts' polls, and returns the times until no
-// host would send them new work.
-func Leaving(ctx context.Context, hosts, times int) (*Times, error) {
-	out := NewTimes()
-	d, err := deployment.Start(ctx, deployment.Options{Hosts: hosts, Engines: times + 1})
+// Leaving has engines report one after the other that they are leaving, at
+// times that are not aligned with the hosts' polls. It returns the times until
+// no host routes requests to them.
+func Leaving(ctx context.Context, hosts, engines int) (*Histogram, error) {
+	out := NewHistogram()
+	d, err := deployment.Start(ctx, deployment.Options{Hosts: hosts, Engines: engines + 1})
 	if err != nil {
 		return out, err
 	}
 	defer d.Close()
 	time.Sleep(3 * time.Second)
-	for i := range times {
+	for i := range engines {
 		time.Sleep(time.Duration(137*(i%11)) * time.Millisecond)
 		name := d.Document.Upstreams[i].Name
 		began := time.Now()
@@ -34,7 +34,7 @@
 		for _, h := range d.Hosts {
 			for h.Routable(deployment.Model, name) {
 				if time.Since(began) > leavingTimeout || ctx.Err() != nil {
-					return out, errors.Errorf("experimenter: %s still gets work", name)
+					return out, errors.Errorf("experimenter: hosts still route requests to %s", name)
 				}
 				time.Sleep(time.Millisecond)
 			}
--- a/experimenter/plot.go
+++ b/experimenter/plot.go
@@ -18,7 +18,7 @@
 	plotHeight = 5 * vg.Inch
 )
 
-// plotColors are the colors of a plot's lines.
+// plotColors are the line colors, used in turn.
 var plotColors = []color.Color{
 	color.RGBA{A: 0xff},
 	color.RGBA{R: 0xb0, G: 0x3a, B: 0x2e, A: 0xff},
@@ -29,9 +29,9 @@
 	color.RGBA{R: 0x45, G: 0x5a, B: 0x64, A: 0xff},
 }
 
-// WritePlot draws, for one class, the share of requests whose first token came
-// within each time, a line for each policy. The ending of the path decides the
-// format: svg, png or pdf.
+// WritePlot plots the cumulative distribution of the time to first token of one
+// class, with a line for each policy. The extension of path selects the format:
+// svg, png or pdf.
 func WritePlot(path string, results []Result, class int) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Time to first token, %s", results[0].Classes[class].Class)
@@ -41,7 +41,7 @@
 	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	p.Legend.YOffs = 10
 	for i, r := range results {
-		line, err := plotter.NewLine(quantilePoints(r.Classes[class].Times))
+		line, err := plotter.NewLine(quantilePoints(r.Classes[class].FirstToken))
 		if err != nil {
 			return err
 		}
@@ -53,22 +53,22 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// dashes tells lines of the same color apart.
-func dashes(round int) []vg.Length {
-	if round == 0 {
+// dashes returns the dash pattern of the n-th round of colors.
+func dashes(n int) []vg.Length {
+	if n == 0 {
 		return nil
 	}
-	return []vg.Length{vg.Points(float64(3 * round)), vg.Points(2)}
+	return []vg.Length{vg.Points(float64(3 * n)), vg.Points(2)}
 }
 
 // quantileSteps is the number of points of a line.
 const quantileSteps = 200
 
-func quantilePoints(t *Times) plotter.XYs {
+func quantilePoints(h *Histogram) plotter.XYs {
 	xys := make(plotter.XYs, quantileSteps)
 	for i := range xys {
 		q := (float64(i) + 0.5) / quantileSteps
-		xys[i].X = max(t.At(q).Seconds(), 1e-4)
+		xys[i].X = max(h.Quantile(q).Seconds(), 1e-4)
 		xys[i].Y = q
 	}
 	return xys
--- a/experimenter/quantiles.go
+++ b/experimenter/quantiles.go
@@ -10,38 +10,44 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Times collects durations. It is not safe for concurrent use.
-type Times struct {
+// Histogram records durations. It is not safe for concurrent use.
+type Histogram struct {
 	histogram *hdrhistogram.Histogram
 }
 
-// largest is the longest duration that is told from longer ones.
-const largest = 10 * time.Minute
+// maxDuration is the largest recordable duration. Longer ones are recorded as
+// this one.
+const maxDuration = 10 * time.Minute
 
-// NewTimes returns an empty collection with three significant figures.
-func NewTimes() *Times { return &Times{histogram: hdrhistogram.New(1, int64(largest), 3)} }
+// NewHistogram returns an empty histogram with a precision of three
+// significant figures.
+func NewHistogram() *Histogram {
+	return &Histogram{histogram: hdrhistogram.New(1, int64(maxDuration), 3)}
+}
 
-// Add adds a duration.
-func (t *Times) Add(d time.Duration) {
-	_ = t.histogram.RecordValue(min(max(int64(d), 1), int64(largest)))
+// Add records a duration.
+func (h *Histogram) Add(d time.Duration) {
+	_ = h.histogram.RecordValue(min(max(int64(d), 1), int64(maxDuration)))
 }
 
-// Merge adds all durations of another collection.
-func (t *Times) Merge(o *Times) { t.histogram.Merge(o.histogram) }
+// Merge adds all durations of another histogram.
+func (h *Histogram) Merge(other *Histogram) { h.histogram.Merge(other.histogram) }
 
-// Count returns the number of durations.
-func (t *Times) Count() int64 { return t.histogram.TotalCount() }
+// Count returns the number of recorded durations.
+func (h *Histogram) Count() int64 { return h.histogram.TotalCount() }
 
-// At returns a quantile; q is from 0 to 1.
-func (t *Times) At(q float64) time.Duration {
-	return time.Duration(t.histogram.ValueAtQuantile(q * 100))
+// Quantile returns the q-quantile, with q from 0 to 1.
+func (h *Histogram) Quantile(q float64) time.Duration {
+	return time.Duration(h.histogram.ValueAtQuantile(q * 100))
 }
 
-// String returns the usual quantiles.
-func (t *Times) String() string {
-	return fmt.Sprintf("p50 %8s  p95 %8s  p99 %8s", round(t.At(0.5)), round(t.At(0.95)), round(t.At(0.99)))
+// String returns the median and the 95th and 99th percentiles.
+func (h *Histogram) String() string {
+	return fmt.Sprintf("p50 %8s  p95 %8s  p99 %8s",
+		round(h.Quantile(0.5)), round(h.Quantile(0.95)), round(h.Quantile(0.99)))
 }
 
+// round rounds a duration for printing.
 func round(d time.Duration) time.Duration {
 	switch {
 	case d > time.Second:
--- a/experimenter/workload.go
+++ b/experimenter/workload.go
@@ -19,80 +19,87 @@
 	"amaranthgate.example/amaranthgate/keeper"
 )
 
-// ClassSpec is a class of requests of a workload.
+// ClassSpec describes a class of requests of a workload.
 type ClassSpec struct {
-	Name     string
-	Rank     int
-	Weight   float64
-	Reserved float64
-	Deadline time.Duration
-	Share    float64 // Share is the part of new conversations that are of the class.
-	First    int     // First is the mean length of a first prompt, in tokens.
-	Growth   int     // Growth is the mean length of what each turn adds to the prompt.
-	Answer   int     // Answer is the mean length of an answer.
-	Return   float64 // Return is the chance that a conversation goes on after a turn.
-	Burst    Burst
+	Name              string
+	Rank              int
+	Weight            float64
+	Reserved          float64
+	Deadline          time.Duration
+	Share             float64 // fraction of new conversations
+	FirstPromptTokens int     // mean length of the first prompt of a conversation
+	GrowthTokens      int     // mean growth of the prompt at each turn
+	AnswerTokens      int     // mean length of an answer
+	ReturnProbability float64 // probability that a conversation has another turn
+	Burst             Burst
 }
 
-// Burst multiplies the arrivals of a class for a time.
+// Burst multiplies the arrival rate of a class for a time.
 type Burst struct {
 	From   time.Duration
 	For    time.Duration
 	Factor float64
 }
 
-// Spec is a deployment and its workload.
+// Spec describes a deployment and its workload.
 type Spec struct {
-	Name       string
-	Zones      int
-	Engines    int
-	Hosts      int
-	Slots      int
-	Prefill    float64       // Prefill is in tokens per second.
-	Interval   time.Duration // Interval is between tokens of an answer.
-	Cache      int           // Cache is the accelerator memory of an engine, in tokens.
-	Store      int           // Store is the size of an engine's store, in tokens.
-	LinkRate   float64       // LinkRate is in bytes per second.
-	TokenBytes float64
-	Workspaces int
-	Zipf       float64       // Zipf is the exponent of the workspaces' sizes.
-	Rate       float64       // Rate is of new conversations per second.
-	GapMedian  time.Duration // GapMedian is the median time between turns.
-	GapSpread  float64       // GapSpread is the standard deviation of the gap's logarithm.
-	Warm       time.Duration // Warm is the time before the measurement begins.
-	For        time.Duration // For is the whole time.
-	Classes    []ClassSpec
-	Weights    configurer.RoutingWeights
+	Name             string
+	Zones            int
+	Engines          int
+	Hosts            int
+	Slots            int
+	PrefillRate      float64 // tokens per second
+	TokenInterval    time.Duration
+	CacheTokens      int     // accelerator memory of an engine
+	StoreTokens      int     // capacity of an engine's store
+	LinkRate         float64 // bytes per second
+	BytesPerToken    float64
+	Workspaces       int
+	Zipf             float64       // exponent of the distribution of conversations over workspaces
+	ConversationRate float64       // new conversations per second
+	GapMedian        time.Duration // median time between turns
+	GapSpread        float64       // standard deviation of the logarithm of the time between turns
+	Warm             time.Duration // warm-up before the measurement
+	For              time.Duration // simulated time, including the warm-up
+	Classes          []ClassSpec
+	Weights          configurer.RoutingWeights
 }
 
-// Association returns the Annex's deployment: Members return after long gaps,
-// and recomputing and links weigh more than time.
+// Association returns a deployment whose conversations resume after long gaps,
+// and whose routing weighs recomputation higher than time.
 func Association() Spec {
 	return Spec{
 		Name: "Association", Zones: 3, Engines: 18, Hosts: 8, Slots: 16,
-		Prefill: 8000, Interval: 25 * time.Millisecond, Cache: 400_000, Store: 6_000_000, LinkRate: 1e9, TokenBytes: 16384,
-		Workspaces: 10, Zipf: 1.2, Rate: 9, GapMedian: 25 * time.Minute, GapSpread: 1.8,
+		PrefillRate: 8000, TokenInterval: 25 * time.Millisecond,
+		CacheTokens: 400_000, StoreTokens: 6_000_000, LinkRate: 1e9, BytesPerToken: 16384,
+		Workspaces: 10, Zipf: 1.2, ConversationRate: 9, GapMedian: 25 * time.Minute, GapSpread: 1.8,
 		Warm: 3 * time.Hour, For: 8 * time.Hour,
 		Classes: []ClassSpec{
-			{Name: "Confirmation", Rank: 0, Weight: 8, Deadline: 10 * time.Second, Share: 0.2, First: 600, Growth: 150, Answer: 60, Return: 0.4},
-			{Name: "Booking", Rank: 1, Weight: 4, Deadline: 30 * time.Second, Share: 0.8, First: 3000, Growth: 700, Answer: 200, Return: 0.75},
+			{Name: "Confirmation", Rank: 0, Weight: 8, Deadline: 10 * time.Second, Share: 0.2,
+				FirstPromptTokens: 600, GrowthTokens: 150, AnswerTokens: 60, ReturnProbability: 0.4},
+			{Name: "Booking", Rank: 1, Weight: 4, Deadline: 30 * time.Second, Share: 0.8,
+				FirstPromptTokens: 3000, GrowthTokens: 700, AnswerTokens: 200, ReturnProbability: 0.75},
 		},
 		Weights: configurer.RoutingWeights{Time: 1, Recompute: 4, Link: 0.5, FarZone: duration.Duration(2 * time.Millisecond)},
 	}
 }
 
-// Nilewater returns the fleet's deployment on its bad day: alerts and triage
-// over long summaries.
+// Nilewater returns a deployment with short urgent requests (alerts and triage)
+// and a burst of long summaries.
 func Nilewater() Spec {
 	return Spec{
 		Name: "Nilewater", Zones: 4, Engines: 18, Hosts: 8, Slots: 16,
-		Prefill: 8000, Interval: 25 * time.Millisecond, Cache: 400_000, Store: 6_000_000, LinkRate: 1e9, TokenBytes: 16384,
-		Workspaces: 10, Zipf: 1.2, Rate: 15, GapMedian: 10 * time.Minute, GapSpread: 1.5,
+		PrefillRate: 8000, TokenInterval: 25 * time.Millisecond,
+		CacheTokens: 400_000, StoreTokens: 6_000_000, LinkRate: 1e9, BytesPerToken: 16384,
+		Workspaces: 10, Zipf: 1.2, ConversationRate: 15, GapMedian: 10 * time.Minute, GapSpread: 1.5,
 		Warm: 30 * time.Minute, For: 3 * time.Hour,
 		Classes: []ClassSpec{
-			{Name: "Alert", Rank: 0, Weight: 8, Reserved: 0.15, Deadline: 5 * time.Second, Share: 0.35, First: 400, Growth: 100, Answer: 40, Return: 0.3},
-			{Name: "Triage", Rank: 1, Weight: 4, Reserved: 0.25, Deadline: 20 * time.Second, Share: 0.6, First: 700, Growth: 200, Answer: 60, Return: 0.4},
-			{Name: "Summary", Rank: 2, Weight: 1, Deadline: time.Hour, Share: 0.05, First: 9000, Growth: 2000, Answer: 900, Return: 0.3,
+			{Name: "Alert", Rank: 0, Weight: 8, Reserved: 0.15, Deadline: 5 * time.Second, Share: 0.35,
+				FirstPromptTokens: 400, GrowthTokens: 100, AnswerTokens: 40, ReturnProbability: 0.3},
+			{Name: "Triage", Rank: 1, Weight: 4, Reserved: 0.25, Deadline: 20 * time.Second, Share: 0.6,
+				FirstPromptTokens: 700, GrowthTokens: 200, AnswerTokens: 60, ReturnProbability: 0.4},
+			{Name: "Summary", Rank: 2, Weight: 1, Deadline: time.Hour, Share: 0.05,
+				FirstPromptTokens: 9000, GrowthTokens: 2000, AnswerTokens: 900, ReturnProbability: 0.3,
 				Burst: Burst{From: time.Hour, For: time.Hour, Factor: 12}},
 		},
 		Weights: configurer.RoutingWeights{Time: 1, Recompute: 0.2, Link: 0.1, FarZone: duration.Duration(2 * time.Millisecond)},
@@ -107,16 +114,16 @@
 	case "Nilewater":
 		return Nilewater(), nil
 	}
-	return Spec{}, errors.Errorf("experimenter: no deployment %q", name)
+	return Spec{}, errors.Errorf("experimenter: unknown deployment %q", name)
 }
 
-// conversation is a sequence of prompts that grow.
+// conversation is a sequence of turns, each with a longer prompt.
 type conversation struct {
 	id        int
 	workspace int
 	class     int
 	zone      int
-	tokens    int // tokens is the length of the context so far.
+	tokens    int // length of the context so far
 	turns     int
 	key       uint64
 	salt      string
@@ -124,29 +131,28 @@
 	rng       *rand.Rand
 }
 
-// turn is one request of a workload.
+// turn is one request of a conversation.
 type turn struct {
-	at     time.Duration
-	conv   *conversation
-	tokens int // tokens is the length of the prompt.
-	known  int // known is the part of it that was sent before.
-	answer int
-	chain  keeper.Chain // chain names the blocks of the prompt.
-	after  keeper.Chain // after names those of prompt and answer.
-	seq    int
+	at       time.Duration
+	conv     *conversation
+	tokens   int // length of the prompt
+	repeated int // prompt tokens that earlier turns had
+	answer   int
+	chain    keeper.Chain // blocks of the prompt
+	after    keeper.Chain // blocks of prompt and answer
+	seq      int
 }
 
-// generator makes the turns of a workload in order of time. The same seed gives
-// the same turns whatever the policy, because a conversation's next turn does
-// not depend on when it was answered.
+// generator generates the turns of a workload in order of time. The times of
+// turns don't depend on answers, so that all policies see the same workload.
 type generator struct {
-	spec    Spec
-	rng     *rand.Rand
-	heap    turnHeap
-	next    time.Duration
-	count   int
-	seq     int
-	weights []float64
+	spec        Spec
+	rng         *rand.Rand
+	turns       turnHeap
+	nextArrival time.Duration
+	count       int
+	seq         int
+	weights     []float64
 }
 
 func newGenerator(spec Spec, seed uint64) *generator {
@@ -158,8 +164,9 @@
 	return g
 }
 
-// pick draws an index with the given weights.
-func pick(rng *rand.Rand, n int, weight func(i int) float64) int {
+// weightedIndex draws an index below n with probability proportional to its
+// weight.
+func weightedIndex(rng *rand.Rand, n int, weight func(i int) float64) int {
 	var sum float64
 	for i := range n {
 		sum += weight(i)
@@ -178,7 +185,7 @@
 	rate := 0.0
 	share := func(i int) float64 {
 		c := g.spec.Classes[i]
-		if b := c.Burst; b.Factor > 0 && g.next >= b.From && g.next < b.From+b.For {
+		if b := c.Burst; b.Factor > 0 && g.nextArrival >= b.From && g.nextArrival < b.From+b.For {
 			return c.Share * b.Factor
 		}
 		return c.Share
@@ -186,34 +193,39 @@
 	for i := range g.spec.Classes {
 		rate += share(i)
 	}
-	g.next += time.Duration(g.rng.ExpFloat64() / (g.spec.Rate * rate) * float64(time.Second))
+	g.nextArrival += time.Duration(g.rng.ExpFloat64() / (g.spec.ConversationRate * rate) * float64(time.Second))
 	g.count++
 	c := &conversation{
 		id:        g.count,
-		workspace: pick(g.rng, len(g.weights), func(i int) float64 { return g.weights[i] }),
-		class:     pick(g.rng, len(g.spec.Classes), share),
+		workspace: weightedIndex(g.rng, len(g.weights), func(i int) float64 { return g.weights[i] }),
+		class:     weightedIndex(g.rng, len(g.spec.Classes), share),
 		zone:      g.rng.IntN(g.spec.Zones),
 		rng:       rand.New(rand.NewPCG(uint64(g.count), 5)),
 	}
 	c.salt = "workspace " + strconv.Itoa(c.workspace)
 	c.key = c.rng.Uint64()
-	g.push(c, g.next, length(c.rng, g.spec.Classes[c.class].First))
+	g.push(c, g.nextArrival, randomLength(c.rng, g.spec.Classes[c.class].FirstPromptTokens))
 }
 
-// length draws a length around a mean.
-func length(rng *rand.Rand, mean int) int {
+// randomLength draws a length from a log-normal distribution with the given
+// mean, at least 16.
+func randomLength(rng *rand.Rand, mean int) int {
 	return max(16, int(float64(mean)*math.Exp(0.6*rng.NormFloat64()-0.18)))
 }
 
+// push schedules a turn that adds grow tokens to a conversation.
 func (g *generator) push(c *conversation, at time.Duration, grow int) {
-	t := &turn{at: at, conv: c, known: c.tokens, tokens: c.tokens + grow, answer: length(c.rng, g.spec.Classes[c.class].Answer), seq: g.seq}
+	t := &turn{
+		at: at, conv: c, repeated: c.tokens, tokens: c.tokens + grow,
+		answer: randomLength(c.rng, g.spec.Classes[c.class].AnswerTokens), seq: g.seq,
+	}
 	g.seq++
 	t.chain = c.grow(t.tokens)
 	t.after = c.grow(t.tokens + t.answer)
-	heap.Push(&g.heap, t)
+	heap.Push(&g.turns, t)
 }
 
-// grow makes the context longer and returns the names of its blocks.
+// grow extends the context to a number of tokens and returns its blocks.
 func (c *conversation) grow(tokens int) keeper.Chain {
 	c.tokens = tokens
 	if blocks := tokens/keeper.TokensPerBlock - c.chain.Len(); blocks > 0 {
@@ -223,7 +235,7 @@
 	return c.chain
 }
 
-// text returns as many blocks of text that no other conversation has.
+// text returns blocks of text that are unique to the conversation and turn.
 func (c *conversation) text(blocks int) string {
 	var b strings.Builder
 	for i := range blocks {
@@ -234,26 +246,27 @@
 	return b.String()
 }
 
-// pop returns the next turn, and false when the time is over.
+// pop returns the next turn, or false at the end of the workload. It schedules
+// the turn that follows in the conversation.
 func (g *generator) pop() (*turn, bool) {
-	for len(g.heap) == 0 || g.heap[0].at >= g.next {
-		if g.next > g.spec.For {
+	for len(g.turns) == 0 || g.turns[0].at >= g.nextArrival {
+		if g.nextArrival > g.spec.For {
 			break
 		}
 		g.arrive()
 	}
-	if len(g.heap) == 0 {
+	if len(g.turns) == 0 {
 		return nil, false
 	}
-	t := heap.Pop(&g.heap).(*turn)
+	t := heap.Pop(&g.turns).(*turn)
 	if t.at > g.spec.For {
 		return nil, false
 	}
 	c := t.conv
 	spec := g.spec.Classes[c.class]
-	if c.rng.Float64() < spec.Return {
+	if c.rng.Float64() < spec.ReturnProbability {
 		gap := time.Duration(float64(g.spec.GapMedian) * math.Exp(g.spec.GapSpread*c.rng.NormFloat64()))
-		g.push(c, t.at+gap, length(c.rng, spec.Growth))
+		g.push(c, t.at+gap, randomLength(c.rng, spec.GrowthTokens))
 	}
 	return t, true
 }
