--- a/folder/folder_test.go
+++ b/folder/folder_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// counter is a state that counts entries; a second copy shows at once.
+// counter counts applied entries by writer, which makes duplicates visible.
 type counter struct{ n map[string]int }
 
 func (c *counter) Apply(_ Position, writer string, _ Entry) { c.n[writer]++ }
@@ -26,8 +26,8 @@
 	return Raw{Offset: offset, Time: start.Add(time.Duration(offset) * time.Second), Body: Record{Writer: writer, Sequence: seq, Entries: entries}.Encode()}
 }
 
-// TestSecondCopiesAreDropped appends a record whose answer was lost again.
-func TestSecondCopiesAreDropped(t *testing.T) {
+// TestDuplicatesAreDropped checks that a record that is appended or fed again is applied once.
+func TestDuplicatesAreDropped(t *testing.T) {
 	c := &counter{n: map[string]int{}}
 	s := NewStream("s", c)
 	s.Feed(Page{Next: 4, Records: []Raw{raw(0, "a", 1), raw(1, "a", 2), raw(2, "a", 1), raw(3, "b", 1)}})
@@ -37,8 +37,8 @@
 	assert.Assert(t, s.Ready())
 }
 
-// TestStartFromCheckpoint starts after records have expired: the state is that
-// of a reader from the beginning, and no second copy slips through.
+// TestStartFromCheckpoint checks that a reader that starts at a checkpoint reaches the same state
+// as a reader from the beginning and drops duplicates of records before the checkpoint.
 func TestStartFromCheckpoint(t *testing.T) {
 	early := NewStream("s", &counter{n: map[string]int{}})
 	early.Feed(Page{Next: 3, Records: []Raw{raw(0, "a", 1), raw(1, "b", 1), raw(2, "a", 2)}})
@@ -54,8 +54,7 @@
 	assert.Equal(t, late.LastTime(), early.LastTime())
 }
 
-// TestGapNeedsCheckpoint loses records under a reader: what it has is not
-// taken for the state any more until a checkpoint comes.
+// TestGapNeedsCheckpoint checks that records after a gap are not applied before a checkpoint.
 func TestGapNeedsCheckpoint(t *testing.T) {
 	s := NewStream("s", &counter{n: map[string]int{}})
 	s.Feed(Page{Next: 1, Records: []Raw{raw(0, "a", 1)}})
@@ -63,8 +62,8 @@
 	assert.Equal(t, s.state.(*counter).n["a"], 1)
 }
 
-// TestAdoptNeverGoesBack offers an older snapshot.
-func TestAdoptNeverGoesBack(t *testing.T) {
+// TestAdoptRejectsOlderSnapshot guards against moving the state back to a lower offset.
+func TestAdoptRejectsOlderSnapshot(t *testing.T) {
 	s := NewStream("s", &counter{n: map[string]int{}})
 	s.Feed(Page{Next: 1, Records: []Raw{raw(0, "a", 1)}})
 	old := s.Snapshot(time.Hour)
@@ -75,7 +74,7 @@
 	assert.Equal(t, fresh.Next(), uint64(2))
 }
 
-// FuzzRecord feeds anything that could stand in the log.
+// FuzzRecord checks that arbitrary record bodies do not crash a stream.
 func FuzzRecord(f *testing.F) {
 	f.Add(raw(0, "a", 1).Body)
 	f.Add([]byte{0xbf, 0xff})
--- a/folder/record.go
+++ b/folder/record.go
@@ -12,76 +12,75 @@
 	"amaranthgate.example/amaranthgate/internal/codec"
 )
 
-// Kind names the type of an entry.
+// Kind is the type of an entry.
 type Kind string
 
-// KindCheckpoint is the kind of the entries that this package handles itself.
+// KindCheckpoint is the kind of checkpoint entries, which are not passed to State.Apply.
 const KindCheckpoint Kind = "Checkpoint"
 
-// Entry is one statement within a record.
+// Entry is one change of a stream's state.
 type Entry struct {
 	Kind Kind
 	Body cbor.RawMessage
 }
 
-// Record is what one append holds: the entries that a writer gathered since
-// its last append.
+// Record is a batch of entries that a writer appends at once.
 type Record struct {
-	Writer   string // Writer is host and incarnation.
-	Sequence uint64 // Sequence counts the writer's records in this stream from 1.
+	Writer   string // Writer identifies a host and its incarnation.
+	Sequence uint64 // Sequence numbers the writer's records in this stream from 1.
 	Entries  []Entry
 }
 
-// Raw is a record as the platform's log returns it.
+// Raw is an encoded record as read from the log.
 type Raw struct {
 	Offset uint64
-	Time   time.Time // Time is the log's own time of the append.
+	Time   time.Time // Time is when the record was appended, by the log's clock.
 	Body   []byte
 }
 
-// Page is the answer to one read.
+// Page is the result of one read of the log.
 type Page struct {
-	Earliest uint64 // Earliest is the lowest offset that the log still keeps.
-	Next     uint64 // Next is the offset that the next append will get.
+	Earliest uint64 // Earliest is the lowest offset that the log retains.
+	Next     uint64 // Next is the offset of the next append.
 	Records  []Raw
 }
 
-// Position is where a record stands.
+// Position is the position of a record in the log.
 type Position struct {
 	Offset uint64
 	Time   time.Time
 }
 
-// NewEntry encodes a body. It panics if the body cannot be encoded.
+// NewEntry returns an entry with an encoded body. It panics if the body cannot be encoded.
 func NewEntry(kind Kind, body any) Entry {
 	b, err := codec.Marshal(body)
 	if err != nil {
-		panic("folder: entry cannot be encoded: " + err.Error())
+		panic("folder: encoding the body of an entry: " + err.Error())
 	}
 	return Entry{Kind: kind, Body: b}
 }
 
-// Decode reads the body of an entry into dst and reports whether it could.
-// Entries that cannot be decoded are ignored by every host alike.
+// Decode decodes the body of e into dst and reports whether it succeeded. States must ignore
+// entries that cannot be decoded.
 func (e Entry) Decode(dst any) bool { return codec.Unmarshal(e.Body, dst) == nil }
 
-// Size returns the approximate number of bytes that e takes in a record.
+// Size returns the approximate encoded size of e in bytes.
 func (e Entry) Size() int { return len(e.Kind) + len(e.Body) + 8 }
 
-// Encode returns the body under which r is appended.
+// Encode returns the encoded record. It panics if r cannot be encoded.
 func (r Record) Encode() []byte {
 	b, err := codec.Marshal(r)
 	if err != nil {
-		panic("folder: record cannot be encoded: " + err.Error())
+		panic("folder: encoding a record: " + err.Error())
 	}
 	return b
 }
 
-// DecodeRecord reads a record from the body of an append.
+// DecodeRecord decodes the body of a raw record.
 func DecodeRecord(body []byte) (Record, error) {
 	var r Record
 	if err := codec.Unmarshal(body, &r); err != nil {
-		return Record{}, errors.Wrap(err, "folder: not a record")
+		return Record{}, errors.Wrap(err, "folder: decoding a record")
 	}
 	if r.Writer == "" || r.Sequence == 0 {
 		return Record{}, errors.New("folder: record without writer or sequence")
--- a/folder/stream.go
+++ b/folder/stream.go
@@ -12,118 +12,118 @@
 	"amaranthgate.example/amaranthgate/internal/codec"
 )
 
-// State is folded from the entries of a stream. Apply must depend on nothing
-// but the state and its arguments.
+// State is computed from the entries of a stream. Apply must be deterministic: it may depend
+// only on the state and its arguments.
 type State interface {
-	// Apply changes the state by one entry.
+	// Apply applies one entry.
 	Apply(at Position, writer string, e Entry)
-	// EncodeState returns the whole state.
+	// EncodeState returns the encoded state.
 	EncodeState() []byte
-	// DecodeState replaces the state.
+	// DecodeState replaces the state by a decoded one.
 	DecodeState(b []byte) error
 }
 
-// Checkpoint is the whole state of a stream's fold up to an offset.
+// Checkpoint is the whole state of a stream up to an offset.
 type Checkpoint struct {
-	Covers  uint64 // Covers is the first offset that is not part of the state.
-	Writers map[string]writerMark
-	State   []byte // State is compressed by zstd.
+	Covers  uint64 // Covers is the first offset that is not included in the state.
+	Writers map[string]lastRecord
+	State   []byte // State is the encoded state, compressed with zstd.
 }
 
-// writerMark remembers the last record of a writer.
-type writerMark struct {
+// lastRecord identifies the last applied record of a writer.
+type lastRecord struct {
 	Sequence uint64
 	Time     time.Time
 }
 
-// Applied is a record that was fed and counted.
+// Applied is a record that was applied, so not a duplicate.
 type Applied struct {
 	Position
 	Record
 }
 
-// Stream folds one stream. It is not safe for concurrent use.
+// Stream folds the records of one stream into a state. It is not safe for concurrent use.
 type Stream struct {
-	name    string
-	state   State
-	next    uint64
-	writers map[string]writerMark
-	started bool // started is set once the state is founded on offset 0 or a checkpoint.
-	ready   bool // ready is set once the state has reached the head seen at some read.
-	waiting []Raw
-	last    time.Time
+	name        string
+	state       State
+	next        uint64
+	writers     map[string]lastRecord
+	initialized bool // initialized is set once the state begins at offset 0 or at a checkpoint.
+	ready       bool // ready is set once the state has reached the end of the log as of some read.
+	buffered    []Raw
+	lastTime    time.Time
 }
 
-// maxStateBytes bounds a decompressed checkpoint.
+// maxStateBytes bounds the memory to decompress a checkpoint.
 const maxStateBytes = 256 << 20
 
-// NewStream returns a fold that has read nothing.
+// NewStream returns a stream that has applied no records yet.
 func NewStream(name string, state State) *Stream {
-	return &Stream{name: name, state: state, writers: make(map[string]writerMark)}
+	return &Stream{name: name, state: state, writers: make(map[string]lastRecord)}
 }
 
 // Name returns the name of the stream.
 func (s *Stream) Name() string { return s.name }
 
-// Next returns the offset from which to read next.
+// Next returns the offset of the next record to read.
 func (s *Stream) Next() uint64 { return s.next }
 
-// Ready reports whether the state has caught up with the log once.
+// Ready reports whether the state has caught up with the log at least once.
 func (s *Stream) Ready() bool { return s.ready }
 
-// LastTime returns the log's time of the newest record applied.
-func (s *Stream) LastTime() time.Time { return s.last }
+// LastTime returns the append time of the last applied record, by the log's clock.
+func (s *Stream) LastTime() time.Time { return s.lastTime }
 
-// Feed applies a page and returns the records that counted. Records below
-// Next are ignored, so that a page may be fed twice.
+// Feed applies the records of a page and returns those that are not duplicates. It ignores
+// records below Next, so that a page may be fed twice.
 func (s *Stream) Feed(p Page) []Applied {
-	s.found(p)
+	s.locateStart(p)
 	var out []Applied
 	for _, raw := range p.Records {
 		if raw.Offset < s.next {
 			continue
 		}
-		if !s.started {
-			out = append(out, s.feedUnfounded(raw)...)
+		if !s.initialized {
+			out = append(out, s.bufferUntilCheckpoint(raw)...)
 			continue
 		}
 		out = s.apply(out, raw)
 	}
-	if s.started && s.next >= p.Next {
+	if s.initialized && s.next >= p.Next {
 		s.ready = true
 	}
 	return out
 }
 
-// found decides where the state begins. A stream whose first record is still
-// kept begins empty; a gap left by expired records makes the state unusable
-// until a checkpoint is read.
-func (s *Stream) found(p Page) {
+// locateStart determines where the state begins. It begins empty if the log retains the first
+// record. Records that expired before they were read invalidate it until a checkpoint is read.
+func (s *Stream) locateStart(p Page) {
 	switch {
-	case !s.started && p.Earliest == 0:
-		s.started = true
+	case !s.initialized && p.Earliest == 0:
+		s.initialized = true
 	case p.Earliest > s.next:
-		s.started = false
-		s.waiting = nil
+		s.initialized = false
+		s.buffered = nil
 		s.next = p.Earliest
 	}
 }
 
-// feedUnfounded keeps a record until a checkpoint tells where to begin.
-func (s *Stream) feedUnfounded(raw Raw) []Applied {
+// bufferUntilCheckpoint buffers a record. When the record holds a checkpoint that covers all
+// offsets before the buffer, it restores the checkpoint and applies the records after it.
+func (s *Stream) bufferUntilCheckpoint(raw Raw) []Applied {
 	s.next = raw.Offset + 1
-	s.waiting = append(s.waiting, raw)
+	s.buffered = append(s.buffered, raw)
 	cp, ok := findCheckpoint(raw)
-	if !ok || cp.Covers < s.waiting[0].Offset {
+	if !ok || cp.Covers < s.buffered[0].Offset {
 		return nil
 	}
 	if err := s.restore(cp); err != nil {
 		return nil
 	}
-	waiting := s.waiting
-	s.waiting = nil
+	buffered := s.buffered
+	s.buffered = nil
 	var out []Applied
-	for _, w := range waiting {
+	for _, w := range buffered {
 		if w.Offset >= cp.Covers {
 			out = s.apply(out, w)
 		}
@@ -154,8 +154,8 @@
 	if r.Sequence <= s.writers[r.Writer].Sequence {
 		return out
 	}
-	s.writers[r.Writer] = writerMark{Sequence: r.Sequence, Time: raw.Time}
-	s.last = raw.Time
+	s.writers[r.Writer] = lastRecord{Sequence: r.Sequence, Time: raw.Time}
+	s.lastTime = raw.Time
 	at := Position{Offset: raw.Offset, Time: raw.Time}
 	for _, e := range r.Entries {
 		if e.Kind != KindCheckpoint {
@@ -165,31 +165,31 @@
 	return append(out, Applied{Position: at, Record: r})
 }
 
-// Checkpoint returns the state as an entry to append. Writers without a
-// record in the last forget are left out; a second copy of their records can
-// only arrive later than that if the log delays an append for as long.
-func (s *Stream) Checkpoint(forget time.Duration) Entry {
-	return NewEntry(KindCheckpoint, s.Snapshot(forget))
+// Checkpoint returns a checkpoint entry to append. It omits writers without a record within the
+// retention time; the log must not delay an append for longer, or a duplicate could be applied.
+func (s *Stream) Checkpoint(retention time.Duration) Entry {
+	return NewEntry(KindCheckpoint, s.Snapshot(retention))
 }
 
-// Snapshot returns the state for a peer that cannot read the log.
-func (s *Stream) Snapshot(forget time.Duration) Checkpoint {
-	cp := Checkpoint{Covers: s.next, Writers: make(map[string]writerMark), State: compress(s.state.EncodeState())}
+// Snapshot returns the state for a host that cannot read the log. Writers without a record
+// within the retention time are omitted.
+func (s *Stream) Snapshot(retention time.Duration) Checkpoint {
+	cp := Checkpoint{Covers: s.next, Writers: make(map[string]lastRecord), State: compress(s.state.EncodeState())}
 	for w, m := range s.writers {
-		if s.last.Sub(m.Time) <= forget {
+		if s.lastTime.Sub(m.Time) <= retention {
 			cp.Writers[w] = m
 		}
 	}
 	return cp
 }
 
-// Adopt takes a peer's snapshot if it is ahead of what this fold has, and
-// reports whether it did. A fold never goes back.
+// Adopt installs another host's snapshot if it is ahead of the state, and reports whether it
+// did. It never moves the state back to a lower offset.
 func (s *Stream) Adopt(cp Checkpoint) bool {
 	if s.ready && cp.Covers <= s.next {
 		return false
 	}
-	if cp.Covers < s.next && s.started {
+	if cp.Covers < s.next && s.initialized {
 		return false
 	}
 	if err := s.restore(cp); err != nil {
@@ -206,10 +206,10 @@
 		return err
 	}
 	if err := s.state.DecodeState(state); err != nil {
-		return errors.Wrapf(err, "folder: checkpoint of %s", s.name)
+		return errors.Wrapf(err, "folder: restoring a checkpoint of stream %s", s.name)
 	}
-	s.started = true
-	s.writers = make(map[string]writerMark, len(cp.Writers))
+	s.initialized = true
+	s.writers = make(map[string]lastRecord, len(cp.Writers))
 	for w, m := range cp.Writers {
 		s.writers[w] = m
 	}
@@ -232,19 +232,20 @@
 	}
 	defer dec.Close()
 	out, err := dec.DecodeAll(b, nil)
-	return out, errors.Wrap(err, "folder: checkpoint is damaged")
+	return out, errors.Wrap(err, "folder: decompressing a checkpoint")
 }
 
-// EncodeCBOR is the usual body of State.EncodeState.
+// EncodeCBOR encodes a state in CBOR, for implementations of State.EncodeState. It panics if v
+// cannot be encoded.
 func EncodeCBOR(v any) []byte {
 	b, err := codec.Marshal(v)
 	if err != nil {
-		panic("folder: state cannot be encoded: " + err.Error())
+		panic("folder: encoding a state: " + err.Error())
 	}
 	return b
 }
 
-// DecodeCBOR is the usual body of State.DecodeState.
+// DecodeCBOR decodes the result of EncodeCBOR, for implementations of State.DecodeState.
 func DecodeCBOR(b []byte, dst any) error {
-	return errors.Wrap(codec.Unmarshal(b, dst), "folder: state cannot be decoded")
+	return errors.Wrap(codec.Unmarshal(b, dst), "folder: decoding a state")
 }
