--- a/leaser/holder.go
+++ b/leaser/holder.go
@@ -10,66 +10,66 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// Options set the times of leases.
+// Options configures a Holder.
 type Options struct {
-	Duration time.Duration // Duration is how long a lease lives without renewal.
-	Margin   time.Duration // Margin is taken off by the holder.
-	Stagger  time.Duration // Stagger is the extra wait for each rank of a contender.
+	Duration time.Duration // Duration is the lifetime of a lease without renewal.
+	Margin   time.Duration // Margin is the time by which a holder stops before the lease expires.
+	Stagger  time.Duration // Stagger is the additional wait per rank before a contender acquires a lease.
 }
 
-// renewals is the number of times that a lease is renewed in its duration.
-const renewals = 3
+// renewalsPerDuration allows for one lost renewal before a lease expires.
+const renewalsPerDuration = 3
 
-// Wanted is a lease that this host would hold.
+// Wanted is a lease for which this host is a candidate.
 type Wanted struct {
 	Name string
-	Rank int // Rank is this host's place among the candidates; 0 is the first.
+	Rank int // Rank is this host's rank among the candidates; 0 is the first to acquire.
 }
 
-// Holder is one host's part in all leases. It is a state machine without clock
-// or I/O.
+// Holder manages the leases of one host. It is a state machine that does no I/O and reads no
+// clock. It is not safe for concurrent use.
 type Holder struct {
 	writer string
 	table  *Table
 	opts   Options
 
-	seen     map[string]sighting
-	valid    map[string]time.Time // valid is when each held lease ends.
-	sent     []time.Time          // sent is when each entry under way was made, in order.
-	trying   map[string]time.Time // trying is when an Acquire under way was made.
-	lastSent time.Time
-	released bool
+	observed    map[string]observation
+	validUntil  map[string]time.Time // validUntil is when this host must stop acting on a lease, by name.
+	inFlight    []time.Time          // inFlight holds the creation times of entries that were not read back yet.
+	acquiring   map[string]time.Time // acquiring holds the creation times of such Acquire entries, by name.
+	lastRenewal time.Time
+	released    bool
 }
 
-type sighting struct {
+// observation is a state of a lease with the time from which this host has known it.
+type observation struct {
 	lease Lease
-	at    time.Time
+	since time.Time
 }
 
-// NewHolder returns the part of a host that holds nothing. writer is its name
-// as a writer of the log.
+// NewHolder returns a Holder without leases. The writer is the host's name as a writer of the log.
 func NewHolder(writer string, table *Table, opts Options) *Holder {
 	return &Holder{
-		writer: writer,
-		table:  table,
-		opts:   opts,
-		seen:   make(map[string]sighting),
-		valid:  make(map[string]time.Time),
-		trying: make(map[string]time.Time),
+		writer:     writer,
+		table:      table,
+		opts:       opts,
+		observed:   make(map[string]observation),
+		validUntil: make(map[string]time.Time),
+		acquiring:  make(map[string]time.Time),
 	}
 }
 
-// Valid returns the epoch of a lease that this host holds and may act on now.
+// Valid returns the epoch of a lease and reports whether this host holds it and may act on it now.
 func (h *Holder) Valid(now time.Time, name string) (uint64, bool) {
 	l := h.table.Lookup(name)
-	if l.Holder != h.writer || !now.Before(h.valid[name]) {
+	if l.Holder != h.writer || !now.Before(h.validUntil[name]) {
 		return 0, false
 	}
 	return l.Epoch, true
 }
 
-// Epoch returns the epoch of a lease that this host holds according to the
-// log, whether or not its time is up; 0 if it does not hold it.
+// Epoch returns the epoch of a lease that this host holds according to the log, even if the lease
+// has expired; 0 if another host or none holds it.
 func (h *Holder) Epoch(name string) uint64 {
 	if l := h.table.Lookup(name); l.Holder == h.writer {
 		return l.Epoch
@@ -77,8 +77,7 @@
 	return 0
 }
 
-// Held returns the names of the leases that this host holds according to the
-// log, sorted.
+// Held returns the sorted names of the leases that this host holds according to the log.
 func (h *Holder) Held() []string {
 	var out []string
 	for n, l := range h.table.leases {
@@ -90,33 +89,35 @@
 	return out
 }
 
-// Tick returns the entries to append now: renewals of what is held and
-// acquisitions of what is wanted and free.
+// Tick returns the entries to append now: the renewal of the held leases, and acquisitions of
+// wanted leases that are free or expired.
 func (h *Holder) Tick(now time.Time, wanted []Wanted) []folder.Entry {
 	if h.released {
 		return nil
 	}
 	var out []folder.Entry
-	if refs := h.held(); len(refs) > 0 && now.Sub(h.lastSent) >= h.opts.Duration/renewals {
-		h.lastSent = now
-		out = h.send(now, out, folder.NewEntry(KindRenew, Renew{Leases: refs}))
+	if refs := h.heldRefs(); len(refs) > 0 && now.Sub(h.lastRenewal) >= h.opts.Duration/renewalsPerDuration {
+		h.lastRenewal = now
+		out = h.appendEntry(now, out, folder.NewEntry(KindRenew, Renew{Leases: refs}))
 	}
 	for _, w := range wanted {
 		if h.mayAcquire(now, w) {
 			l := h.table.Lookup(w.Name)
-			h.trying[w.Name] = now
-			out = h.send(now, out, folder.NewEntry(KindAcquire, Acquire{Name: w.Name, Epoch: l.Epoch, Renewals: l.Renewals}))
+			h.acquiring[w.Name] = now
+			out = h.appendEntry(now, out, folder.NewEntry(KindAcquire,
+				Acquire{Name: w.Name, Epoch: l.Epoch, Renewals: l.Renewals}))
 		}
 	}
 	return out
 }
 
-func (h *Holder) send(now time.Time, out []folder.Entry, e folder.Entry) []folder.Entry {
-	h.sent = append(h.sent, now)
+// appendEntry appends e to out and records it as in flight.
+func (h *Holder) appendEntry(now time.Time, out []folder.Entry, e folder.Entry) []folder.Entry {
+	h.inFlight = append(h.inFlight, now)
 	return append(out, e)
 }
 
-func (h *Holder) held() []Ref {
+func (h *Holder) heldRefs() []Ref {
 	var refs []Ref
 	for _, n := range h.Held() {
 		refs = append(refs, Ref{Name: n, Epoch: h.table.Lookup(n).Epoch})
@@ -124,44 +125,43 @@
 	return refs
 }
 
-// mayAcquire reports whether a lease has been seen without change for its
-// whole duration, or was released, and the candidates of lower rank have had
-// their time.
+// mayAcquire reports whether a lease is free or has not changed for its duration, and candidates
+// of lower rank had time to acquire it.
 func (h *Holder) mayAcquire(now time.Time, w Wanted) bool {
 	l := h.table.Lookup(w.Name)
 	if l.Holder == h.writer {
 		return false
 	}
-	if t, ok := h.trying[w.Name]; ok && now.Sub(t) < h.opts.Duration {
+	if t, ok := h.acquiring[w.Name]; ok && now.Sub(t) < h.opts.Duration {
 		return false
 	}
-	s, ok := h.seen[w.Name]
+	s, ok := h.observed[w.Name]
 	if !ok || s.lease != l {
-		h.seen[w.Name] = sighting{lease: l, at: now}
-		s = h.seen[w.Name]
+		h.observed[w.Name] = observation{lease: l, since: now}
+		s = h.observed[w.Name]
 	}
 	wait := time.Duration(w.Rank) * h.opts.Stagger
 	if l.Holder != "" {
 		wait += h.opts.Duration
 	}
-	return now.Sub(s.at) >= wait
+	return now.Sub(s.since) >= wait
 }
 
-// Applied handles a record that the table has just applied.
+// Applied processes a record after the table has applied it.
 func (h *Holder) Applied(now time.Time, rec folder.Applied) {
-	h.sight(now, rec)
+	h.observe(now, rec)
 	if rec.Writer != h.writer {
 		return
 	}
 	for _, e := range rec.Entries {
 		if e.Kind == KindAcquire || e.Kind == KindRenew {
-			h.confirmed(e)
+			h.confirm(e)
 		}
 	}
 }
 
-// sight notes when the leases that a record changed were last seen to change.
-func (h *Holder) sight(now time.Time, rec folder.Applied) {
+// observe records the time at which the leases in a record changed.
+func (h *Holder) observe(now time.Time, rec folder.Applied) {
 	for _, e := range rec.Entries {
 		var body struct {
 			Name   string
@@ -174,24 +174,24 @@
 			body.Leases = append(body.Leases, Ref{Name: body.Name})
 		}
 		for _, r := range body.Leases {
-			if l := h.table.Lookup(r.Name); h.seen[r.Name].lease != l {
-				h.seen[r.Name] = sighting{lease: l, at: now}
+			if l := h.table.Lookup(r.Name); h.observed[r.Name].lease != l {
+				h.observed[r.Name] = observation{lease: l, since: now}
 			}
 		}
 	}
 }
 
-// confirmed takes an entry of this host's own that was read back.
-func (h *Holder) confirmed(e folder.Entry) {
-	if len(h.sent) == 0 {
+// confirm extends the validity of the leases in an entry of this host that was read back.
+func (h *Holder) confirm(e folder.Entry) {
+	if len(h.inFlight) == 0 {
 		return
 	}
-	until := h.sent[0].Add(h.opts.Duration - h.opts.Margin)
-	h.sent = h.sent[1:]
+	until := h.inFlight[0].Add(h.opts.Duration - h.opts.Margin)
+	h.inFlight = h.inFlight[1:]
 	if e.Kind == KindAcquire {
 		var a Acquire
 		if e.Decode(&a) {
-			delete(h.trying, a.Name)
+			delete(h.acquiring, a.Name)
 			h.extend(a.Name, until)
 		}
 		return
@@ -207,25 +207,24 @@
 }
 
 func (h *Holder) extend(name string, until time.Time) {
-	if h.table.Lookup(name).Holder == h.writer && until.After(h.valid[name]) {
-		h.valid[name] = until
+	if h.table.Lookup(name).Holder == h.writer && until.After(h.validUntil[name]) {
+		h.validUntil[name] = until
 	}
 }
 
-// Release returns the entries that give up all that is held; from then on
-// nothing is acquired or renewed.
+// Release returns the entries that release all held leases. Tick returns no entries afterwards.
 func (h *Holder) Release() []folder.Entry {
 	h.released = true
 	return h.Yield(h.Held())
 }
 
-// Yield returns the entries that give up some of the leases that are held, so
-// that a better candidate can acquire them.
+// Yield returns the entries that release some of the held leases, so that a candidate of lower
+// rank can acquire them.
 func (h *Holder) Yield(names []string) []folder.Entry {
 	var refs []Ref
 	for _, n := range names {
 		if epoch := h.Epoch(n); epoch != 0 {
-			delete(h.valid, n)
+			delete(h.validUntil, n)
 			refs = append(refs, Ref{Name: n, Epoch: epoch})
 		}
 	}
@@ -235,11 +234,11 @@
 	return []folder.Entry{folder.NewEntry(KindRelease, Release{Leases: refs})}
 }
 
-// Until returns when this host may no longer act on a lease; the zero time if
-// it does not hold it.
+// Until returns the time at which this host must stop acting on a lease; the zero time if it does
+// not hold the lease.
 func (h *Holder) Until(name string) time.Time {
 	if h.Epoch(name) == 0 {
 		return time.Time{}
 	}
-	return h.valid[name]
+	return h.validUntil[name]
 }
--- a/leaser/table.go
+++ b/leaser/table.go
@@ -7,58 +7,59 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// StreamName is the name of the leases' stream in the log.
+// StreamName is the name of the stream of leases in the log.
 const StreamName = "Leases"
 
-// The kinds of entries in the leases' stream.
+// Kinds of entries in the stream of leases.
 const (
 	KindAcquire folder.Kind = "Acquire"
 	KindRenew   folder.Kind = "Renew"
 	KindRelease folder.Kind = "Release"
 )
 
-// Acquire takes a lease over from a state that the writer has seen expire.
+// Acquire acquires a lease that the writer considers free or expired. It is ignored if the lease
+// is no longer in the given state.
 type Acquire struct {
 	Name     string
-	Epoch    uint64 // Epoch is the epoch that is replaced; 0 if there was none.
-	Renewals uint64 // Renewals is the number of renewals that the writer saw in it.
+	Epoch    uint64 // Epoch is the epoch to replace; 0 if there was none.
+	Renewals uint64 // Renewals is the number of renewals of that epoch.
 }
 
-// Ref names a lease in one epoch.
+// Ref identifies one epoch of a lease.
 type Ref struct {
 	Name  string
 	Epoch uint64
 }
 
-// Renew prolongs the leases of the writer.
+// Renew renews leases of the writer.
 type Renew struct {
 	Leases []Ref
 }
 
-// Release gives leases up.
+// Release releases leases of the writer.
 type Release struct {
 	Leases []Ref
 }
 
 // Lease is the state of one lease.
 type Lease struct {
-	Holder   string // Holder is the writer that holds it; empty when it was released.
+	Holder   string // Holder is the writer that holds the lease; empty after a release.
 	Epoch    uint64
 	Renewals uint64
 }
 
-// Table is the fold of the leases' stream. It implements folder.State.
+// Table holds the state of all leases. It implements folder.State.
 type Table struct {
 	leases map[string]Lease
 }
 
-// NewTable returns a table without leases.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{leases: make(map[string]Lease)} }
 
-// Lookup returns the state of a lease.
+// Lookup returns the state of a lease, the zero Lease if it does not exist.
 func (t *Table) Lookup(name string) Lease { return t.leases[name] }
 
-// All returns a copy of all leases by name.
+// All returns a copy of the leases by name.
 func (t *Table) All() map[string]Lease {
 	out := make(map[string]Lease, len(t.leases))
 	for n, l := range t.leases {
@@ -67,8 +68,7 @@
 	return out
 }
 
-// Apply implements folder.State. Epochs are offsets plus one, so that no epoch
-// is 0.
+// Apply implements folder.State. An epoch is an offset plus one, so that 0 stands for none.
 func (t *Table) Apply(at folder.Position, writer string, e folder.Entry) {
 	switch e.Kind {
 	case KindAcquire:
@@ -83,17 +83,18 @@
 	case KindRenew:
 		var r Renew
 		if e.Decode(&r) {
-			t.each(writer, r.Leases, func(l Lease) Lease { l.Renewals++; return l })
+			t.update(writer, r.Leases, func(l Lease) Lease { l.Renewals++; return l })
 		}
 	case KindRelease:
 		var r Release
 		if e.Decode(&r) {
-			t.each(writer, r.Leases, func(l Lease) Lease { l.Holder = ""; l.Renewals++; return l })
+			t.update(writer, r.Leases, func(l Lease) Lease { l.Holder = ""; l.Renewals++; return l })
 		}
 	}
 }
 
-func (t *Table) each(writer string, refs []Ref, change func(Lease) Lease) {
+// update replaces those of the referenced leases that the writer still holds.
+func (t *Table) update(writer string, refs []Ref, change func(Lease) Lease) {
 	for _, r := range refs {
 		if l, ok := t.leases[r.Name]; ok && l.Holder == writer && l.Epoch == r.Epoch {
 			t.leases[r.Name] = change(l)
--- a/leaser/table_test.go
+++ b/leaser/table_test.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// TestRenewalVoidsAcquire lets a renewal land before a contender's acquire.
-func TestRenewalVoidsAcquire(t *testing.T) {
+// TestRenewalInvalidatesAcquire guards against two holders when a renewal precedes an Acquire.
+func TestRenewalInvalidatesAcquire(t *testing.T) {
 	table := NewTable()
 	apply := func(offset uint64, writer string, e folder.Entry) {
 		table.Apply(folder.Position{Offset: offset}, writer, e)
@@ -38,9 +38,9 @@
 	assert.DeepEqual(t, table.Lookup("l"), Lease{Holder: "b", Epoch: 4})
 }
 
-// TestHolderStopsFirst: the holder's time is counted from before its entry was
-// sent, the contender's from after it was read.
-func TestHolderStopsFirst(t *testing.T) {
+// TestHolderStopsBeforeContender guards against a contender that acquires a lease while its holder
+// still acts on it.
+func TestHolderStopsBeforeContender(t *testing.T) {
 	opts := Options{Duration: 3 * time.Second, Margin: 500 * time.Millisecond}
 	ta, tb := NewTable(), NewTable()
 	a, b := NewHolder("a", ta, opts), NewHolder("b", tb, opts)
