--- a/appender/queue.go
+++ b/appender/queue.go
@@ -1,15 +1,13 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package appender gathers entries for one stream of the platform's log into
-// few records and sees to it that each record counts exactly once, although
-// answers get lost.
+// Package appender batches entries for one stream of the platform's log into records and
+// ensures that each record is applied exactly once, even when answers are lost.
 //
-// One record is under way at a time. When its append is not answered, the
-// stream is read up to its end first; only if the record is not there is it
-// sent again, under the same writer and sequence number, so that a second copy
-// is dropped by every reader. Entries that come meanwhile go into the next
-// record (group commit).
+// One record is in flight at a time. If its append fails, the stream is read to the end and
+// the record is sent again only if it is not in the log. The retry carries the same writer and
+// sequence number, so that readers drop duplicates. Entries that arrive in the meantime go into
+// the next record (group commit).
 //
 // # Usage
 //
@@ -19,7 +17,7 @@
 //	q.Done(now, rec.Sequence, err)
 //	q.Read(began, caughtUp, applied)
 //
-// Queue is a state machine without clock or I/O.
+// Queue is a state machine that does no I/O and reads no clock.
 package appender
 
 import (
@@ -28,110 +26,111 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// maxRecordBytes is the size at which a record takes no more entries.
+// maxRecordBytes bounds the size of a record, unless a single entry exceeds it.
 const maxRecordBytes = 256 << 10
 
-// retryPause is the time between two tries to append the same record.
-const retryPause = 100 * time.Millisecond
+// retryInterval is the minimum time between two attempts to append the same record.
+const retryInterval = 100 * time.Millisecond
 
+// phase is the phase of the record in flight.
 type phase string
 
 const (
-	phaseIdle   phase = "Idle"
-	phaseSent   phase = "Sent"   // phaseSent waits for the answer.
-	phaseLanded phase = "Landed" // phaseLanded waits to read the record back.
-	phaseLost   phase = "Lost"   // phaseLost waits for a read that began after the answer was lost.
-	phaseAbsent phase = "Absent" // phaseAbsent is known not to be in the log and may be sent again.
+	phaseIdle       phase = "Idle"
+	phaseSent       phase = "Sent"   // phaseSent awaits the answer to an append.
+	phaseAppended   phase = "Landed" // phaseAppended awaits reading the record back.
+	phaseUnanswered phase = "Lost"   // phaseUnanswered awaits a read that began after the append failed.
+	phaseAbsent     phase = "Absent" // phaseAbsent means that the record is not in the log and can be retried.
 )
 
-// Queue is the state of the appends to one stream.
+// Queue batches entries for one stream. It is not safe for concurrent use.
 type Queue struct {
 	writer   string
 	interval time.Duration
 
-	waiting  []folder.Entry
+	pending  []folder.Entry
 	current  folder.Record
 	phase    phase
 	sequence uint64
-	last     time.Time // last is when a record was last sent.
-	lostAt   time.Time
+	lastSent time.Time
+	failedAt time.Time
 
 	appends uint64
 }
 
-// NewQueue returns an empty queue. A record is begun at most once in each
-// interval.
+// NewQueue returns an empty queue that begins at most one record per interval.
 func NewQueue(writer string, interval time.Duration) *Queue {
 	return &Queue{writer: writer, interval: interval, phase: phaseIdle}
 }
 
-// Add puts entries behind those that wait.
-func (q *Queue) Add(entries ...folder.Entry) { q.waiting = append(q.waiting, entries...) }
+// Add appends entries to the queue.
+func (q *Queue) Add(entries ...folder.Entry) { q.pending = append(q.pending, entries...) }
 
-// Len returns the number of entries that are not read back yet.
-func (q *Queue) Len() int { return len(q.waiting) + len(q.current.Entries) }
+// Len returns the number of entries that were not read back yet.
+func (q *Queue) Len() int { return len(q.pending) + len(q.current.Entries) }
 
-// Appends returns the number of appends tried.
+// Appends returns the number of attempts to append a record.
 func (q *Queue) Appends() uint64 { return q.appends }
 
-// Next returns the record to append now, if there is one.
+// Next returns the record to append now and reports whether there is one.
 func (q *Queue) Next(now time.Time) (folder.Record, bool) {
 	switch q.phase {
 	case phaseIdle:
-		if len(q.waiting) == 0 || now.Sub(q.last) < q.interval {
+		if len(q.pending) == 0 || now.Sub(q.lastSent) < q.interval {
 			return folder.Record{}, false
 		}
-		q.begin()
+		q.beginRecord()
 	case phaseAbsent:
-		if now.Sub(q.last) < retryPause {
+		if now.Sub(q.lastSent) < retryInterval {
 			return folder.Record{}, false
 		}
 	default:
 		return folder.Record{}, false
 	}
 	q.phase = phaseSent
-	q.last = now
+	q.lastSent = now
 	q.appends++
 	return q.current, true
 }
 
-// Due returns how long to wait until Next may have something, and false if
-// time alone brings nothing.
+// Due returns the time until Next may return a record. It reports false if Next returns none until
+// entries are added or read back.
 func (q *Queue) Due(now time.Time) (time.Duration, bool) {
 	switch {
-	case q.phase == phaseIdle && len(q.waiting) > 0:
-		return q.interval - now.Sub(q.last), true
+	case q.phase == phaseIdle && len(q.pending) > 0:
+		return q.interval - now.Sub(q.lastSent), true
 	case q.phase == phaseAbsent:
-		return retryPause - now.Sub(q.last), true
+		return retryInterval - now.Sub(q.lastSent), true
 	}
 	return 0, false
 }
 
-func (q *Queue) begin() {
+// beginRecord moves pending entries into the next record.
+func (q *Queue) beginRecord() {
 	n, size := 0, 0
-	for n < len(q.waiting) && (n == 0 || size+q.waiting[n].Size() <= maxRecordBytes) {
-		size += q.waiting[n].Size()
+	for n < len(q.pending) && (n == 0 || size+q.pending[n].Size() <= maxRecordBytes) {
+		size += q.pending[n].Size()
 		n++
 	}
 	q.sequence++
-	q.current = folder.Record{Writer: q.writer, Sequence: q.sequence, Entries: q.waiting[:n:n]}
-	q.waiting = append([]folder.Entry(nil), q.waiting[n:]...)
+	q.current = folder.Record{Writer: q.writer, Sequence: q.sequence, Entries: q.pending[:n:n]}
+	q.pending = append([]folder.Entry(nil), q.pending[n:]...)
 }
 
-// Done takes the answer to an append. An error means that nothing is known.
+// Done processes the answer to an append. After an error the record may or may not be in the log.
 func (q *Queue) Done(now time.Time, sequence uint64, err error) {
 	if q.phase != phaseSent || sequence != q.sequence {
 		return
 	}
 	if err != nil {
-		q.phase, q.lostAt = phaseLost, now
+		q.phase, q.failedAt = phaseUnanswered, now
 		return
 	}
-	q.phase = phaseLanded
+	q.phase = phaseAppended
 }
 
-// Read takes what was read from the stream: when the read began, whether it
-// reached the stream's end, and the records that counted.
+// Read processes a read of the stream: its start time, whether it reached the end of the stream,
+// and the records that were applied.
 func (q *Queue) Read(began time.Time, caughtUp bool, applied []folder.Applied) {
 	for _, a := range applied {
 		if a.Writer == q.writer && a.Sequence == q.sequence && q.phase != phaseIdle {
@@ -139,7 +138,7 @@
 			q.current = folder.Record{}
 		}
 	}
-	if q.phase == phaseLost && caughtUp && began.After(q.lostAt) {
+	if q.phase == phaseUnanswered && caughtUp && began.After(q.failedAt) {
 		q.phase = phaseAbsent
 	}
 }
--- a/appender/queue_test.go
+++ b/appender/queue_test.go
@@ -17,9 +17,9 @@
 
 func entry(i int) folder.Entry { return folder.NewEntry("E", i) }
 
-func landed(rec folder.Record) []folder.Applied { return []folder.Applied{{Record: rec}} }
+func applied(rec folder.Record) []folder.Applied { return []folder.Applied{{Record: rec}} }
 
-// TestGroupCommit gathers what comes while a record is under way.
+// TestGroupCommit checks that entries added while a record is in flight share the next record.
 func TestGroupCommit(t *testing.T) {
 	q := NewQueue("w", 10*time.Millisecond)
 	q.Add(entry(1))
@@ -27,14 +27,14 @@
 	assert.Assert(t, ok && len(rec.Entries) == 1 && rec.Sequence == 1)
 	q.Add(entry(2), entry(3))
 	_, ok = q.Next(now.Add(time.Second))
-	assert.Assert(t, !ok) // one at a time
+	assert.Assert(t, !ok) // one record in flight at a time
 	q.Done(now, 1, nil)
-	q.Read(now, true, landed(rec))
+	q.Read(now, true, applied(rec))
 	rec, ok = q.Next(now.Add(time.Second))
 	assert.Assert(t, ok && len(rec.Entries) == 2 && rec.Sequence == 2)
 }
 
-// TestLostAnswer looks the record up before it is sent again.
+// TestLostAnswer guards against a retry of a record that may be in the log.
 func TestLostAnswer(t *testing.T) {
 	for _, inLog := range []bool{true, false} {
 		q := NewQueue("w", 0)
@@ -42,20 +42,20 @@
 		rec, _ := q.Next(now)
 		lost := now.Add(time.Second)
 		q.Done(lost, rec.Sequence, errors.New("lost"))
-		q.Read(now, true, nil) // began before the answer was lost: proves nothing
+		q.Read(now, true, nil) // began before the append failed
 		_, ok := q.Next(lost.Add(time.Hour))
 		assert.Assert(t, !ok)
-		q.Read(lost.Add(time.Second), false, nil) // did not reach the end
+		q.Read(lost.Add(time.Second), false, nil) // did not reach the end of the stream
 		_, ok = q.Next(lost.Add(time.Hour))
 		assert.Assert(t, !ok)
 		if inLog {
-			q.Read(lost.Add(time.Second), true, landed(rec))
+			q.Read(lost.Add(time.Second), true, applied(rec))
 			assert.Equal(t, q.Len(), 0)
 			continue
 		}
 		q.Read(lost.Add(time.Second), true, nil)
 		again, ok := q.Next(lost.Add(time.Hour))
 		assert.Assert(t, ok)
-		assert.Equal(t, again.Sequence, rec.Sequence) // a second copy would be dropped
+		assert.Equal(t, again.Sequence, rec.Sequence) // readers drop duplicates
 	}
 }
