--- a/claimer/claimant.go
+++ b/claimer/claimant.go
@@ -5,86 +5,91 @@
 
 import "time"
 
-// Verdict is how a claim ended for the request that asked for it.
+// Verdict is the result of a claim for the request that made it.
 type Verdict string
 
-// The verdicts.
+// Verdicts.
 const (
-	VerdictWon         Verdict = "Won"         // VerdictWon allows one dispatch.
-	VerdictDone        Verdict = "Done"        // VerdictDone gives the kept answer, if any.
-	VerdictUnknown     Verdict = "Unknown"     // VerdictUnknown says that the key may have run.
-	VerdictMismatch    Verdict = "Mismatch"    // VerdictMismatch says that the key belongs to another request.
-	VerdictUnavailable Verdict = "Unavailable" // VerdictUnavailable says that no agreement was reached; this attempt was not run.
+	VerdictWon         Verdict = "Won"         // VerdictWon allows the request to be dispatched once.
+	VerdictDone        Verdict = "Done"        // VerdictDone comes with the stored answer, if any.
+	VerdictUnknown     Verdict = "Unknown"     // VerdictUnknown means that the key may have run.
+	VerdictMismatch    Verdict = "Mismatch"    // VerdictMismatch means that another request used the key.
+	VerdictUnavailable Verdict = "Unavailable" // VerdictUnavailable means that the request was not run.
 )
 
-// Settled is a verdict for one claim.
+// Settled is the verdict for one claim.
 type Settled struct {
 	Nonce   string
 	Verdict Verdict
 	Answer  *Answer
-	Before  time.Time // Before is when a claim that was won goes stale: the request must be sent earlier.
+	Before  time.Time // Before is the time before which the request of a won claim must be sent.
 }
 
-// Message is what a claimant sends to the owner of a range: a request or an
-// outcome.
+// Message is a claimant's message to the owner of a range: a request or an outcome.
 type Message struct {
 	Range   int
 	Request *Request `cbor:",omitempty"`
 	Outcome *Outcome `cbor:",omitempty"`
 }
 
-// Steps are what a claimant wants done.
+// Steps are the actions that a claimant requires of its caller.
 type Steps struct {
-	Send    []Message // Send goes to the owner of each message's range.
+	Send    []Message // Send holds messages, each for the owner of its range.
 	Settled []Settled
 }
 
-// Claimant stands for this host's requests towards the owners. It is a state
-// machine without clock or I/O.
+// Claimant claims keys for the requests of one host. It is a state machine that does no I/O and
+// reads no clock. It is not safe for concurrent use.
 type Claimant struct {
-	policy   Policy
-	again    time.Duration
-	claims   map[string]*openClaim
-	outcomes map[string]*openOutcome
+	policy        Policy
+	retryInterval time.Duration
+	claims        map[string]*openClaim
+	outcomes      map[string]*openOutcome
 }
 
 type openClaim struct {
-	request  Request
-	giveUp   time.Time
-	sent     time.Time
-	won      bool
-	behind   bool      // behind tells that another request with the key is under way.
-	dispatch time.Time // dispatch is the last moment at which the request may be sent.
+	request        Request
+	deadline       time.Time
+	lastSent       time.Time
+	won            bool
+	queued         bool      // queued is set if the claim awaits another request with the key.
+	dispatchBefore time.Time // dispatchBefore is the time before which the request must be sent.
 }
 
 type openOutcome struct {
-	outcome Outcome
-	sent    time.Time
-	forget  time.Time
+	outcome  Outcome
+	lastSent time.Time
+	expires  time.Time
 }
 
-// NewClaimant returns a claimant that repeats unanswered messages after again.
-func NewClaimant(policy Policy, again time.Duration) *Claimant {
-	return &Claimant{policy: policy, again: again, claims: make(map[string]*openClaim), outcomes: make(map[string]*openOutcome)}
+// NewClaimant returns a claimant that repeats unanswered messages after retryInterval.
+func NewClaimant(policy Policy, retryInterval time.Duration) *Claimant {
+	return &Claimant{
+		policy:        policy,
+		retryInterval: retryInterval,
+		claims:        make(map[string]*openClaim),
+		outcomes:      make(map[string]*openOutcome),
+	}
 }
 
-// SetPolicy replaces the bounds for claims to come.
+// SetPolicy replaces the policy for new claims.
 func (c *Claimant) SetPolicy(p Policy) { c.policy = p }
 
-// Open returns the number of claims and of outcomes under way.
+// Open returns the number of open claims and of unacknowledged outcomes.
 func (c *Claimant) Open() (claims, outcomes int) { return len(c.claims), len(c.outcomes) }
 
-// Start asks for a claim that must be won before deadline.
+// Start starts a claim that must be won before the deadline, and within half the timeout so that
+// the request can be sent before the owner declares the claim Unknown.
 func (c *Claimant) Start(now time.Time, r Request, deadline time.Time) Steps {
-	last := now.Add(c.policy.Timeout / 2)
-	if deadline.After(last) {
-		deadline = last
+	dispatchBefore := now.Add(c.policy.Timeout / 2)
+	if deadline.After(dispatchBefore) {
+		deadline = dispatchBefore
 	}
-	c.claims[r.Nonce] = &openClaim{request: r, giveUp: deadline, sent: now, dispatch: last}
+	c.claims[r.Nonce] = &openClaim{request: r, deadline: deadline, lastSent: now, dispatchBefore: dispatchBefore}
 	return Steps{Send: []Message{{Range: r.Key.Range(), Request: &r}}}
 }
 
-// Answer handles an owner's reply.
+// Answer processes an owner's reply.
 func (c *Claimant) Answer(now time.Time, r Reply) Steps {
 	if r.Ack {
 		delete(c.outcomes, r.Nonce)
@@ -96,13 +101,13 @@
 	}
 	switch r.Result {
 	case ResultWon:
-		if now.After(o.giveUp) {
+		if now.After(o.deadline) {
 			return c.abandon(now, o)
 		}
 		o.won = true
-		return Steps{Settled: []Settled{{Nonce: r.Nonce, Verdict: VerdictWon, Before: o.dispatch}}}
-	case ResultBehind:
-		o.behind = true
+		return Steps{Settled: []Settled{{Nonce: r.Nonce, Verdict: VerdictWon, Before: o.dispatchBefore}}}
+	case ResultQueued:
+		o.queued = true
 		return Steps{}
 	case ResultDone:
 		return c.settle(r, VerdictDone)
@@ -113,7 +118,7 @@
 	case ResultExpired:
 		return c.settle(r, VerdictUnavailable)
 	}
-	return Steps{} // not the owner: Tick asks the next one
+	return Steps{} // NotOwner: Tick sends the request to the next owner.
 }
 
 func (c *Claimant) settle(r Reply, v Verdict) Steps {
@@ -121,21 +126,21 @@
 	return Steps{Settled: []Settled{{Nonce: r.Nonce, Verdict: v, Answer: r.Answer}}}
 }
 
-// abandon gives a claim up before anything was dispatched and tells the owner
-// so, because the claim may yet come into force.
+// abandon ends a claim whose request was not dispatched. It sends NotRun to the owner, because the
+// claim may still be appended.
 func (c *Claimant) abandon(now time.Time, o *openClaim) Steps {
 	nonce := o.request.Nonce
 	steps := c.Finish(now, Outcome{Key: o.request.Key, Nonce: nonce, State: StateNotRun})
 	verdict := VerdictUnavailable
-	if o.behind {
+	if o.queued {
 		verdict = VerdictUnknown
 	}
 	steps.Settled = []Settled{{Nonce: nonce, Verdict: verdict}}
 	return steps
 }
 
-// Abandon gives a claim up whose caller does not wait any longer. A claim that
-// was won already is left to Finish.
+// Abandon ends a claim whose caller has left. It ignores a claim that was won, which ends with
+// Finish.
 func (c *Claimant) Abandon(now time.Time, nonce string) Steps {
 	o := c.claims[nonce]
 	if o == nil || o.won {
@@ -144,35 +149,35 @@
 	return c.abandon(now, o)
 }
 
-// Finish records what became of a claim and tells the owner until it is
-// acknowledged.
+// Finish ends a claim with an outcome, which is sent to the owner until it is acknowledged.
 func (c *Claimant) Finish(now time.Time, out Outcome) Steps {
 	delete(c.claims, out.Nonce)
-	c.outcomes[out.Nonce] = &openOutcome{outcome: out, sent: now, forget: now.Add(c.policy.Window)}
+	c.outcomes[out.Nonce] = &openOutcome{outcome: out, lastSent: now, expires: now.Add(c.policy.Window)}
 	return Steps{Send: []Message{{Range: out.Key.Range(), Outcome: &out}}}
 }
 
-// Tick repeats what was not answered and gives up what is late.
+// Tick repeats unanswered messages, abandons claims past their deadline and drops outcomes that
+// were not acknowledged within Policy.Window.
 func (c *Claimant) Tick(now time.Time) Steps {
 	var steps Steps
 	for _, o := range c.claims {
 		switch {
 		case o.won:
-		case now.After(o.giveUp):
+		case now.After(o.deadline):
 			s := c.abandon(now, o)
 			steps.Send = append(steps.Send, s.Send...)
 			steps.Settled = append(steps.Settled, s.Settled...)
-		case now.Sub(o.sent) >= c.again:
-			o.sent = now
+		case now.Sub(o.lastSent) >= c.retryInterval:
+			o.lastSent = now
 			steps.Send = append(steps.Send, Message{Range: o.request.Key.Range(), Request: &o.request})
 		}
 	}
 	for nonce, o := range c.outcomes {
 		switch {
-		case now.After(o.forget):
+		case now.After(o.expires):
 			delete(c.outcomes, nonce)
-		case now.Sub(o.sent) >= c.again:
-			o.sent = now
+		case now.Sub(o.lastSent) >= c.retryInterval:
+			o.lastSent = now
 			steps.Send = append(steps.Send, Message{Range: o.outcome.Key.Range(), Outcome: &o.outcome})
 		}
 	}
--- a/claimer/owner.go
+++ b/claimer/owner.go
@@ -9,45 +9,47 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// Parcel is a reply on its way to a host.
-type Parcel struct {
+// Envelope is a reply with its recipient.
+type Envelope struct {
 	To    string
 	Reply Reply
 }
 
-// Effects are what an owner wants done.
+// Effects are the actions that an owner requires of its caller.
 type Effects struct {
-	Append []folder.Entry // Append are entries for the range's stream, in order.
-	Send   []Parcel
+	Append []folder.Entry // Append holds entries for the range's stream, in order.
+	Send   []Envelope
 }
 
-// Owner decides on the claims of one range while it holds the range's lease.
-// It is a state machine without clock or I/O.
+// Owner decides on the claims of one range while it holds the range's lease. It is a state machine
+// that does no I/O and reads no clock. It is not safe for concurrent use.
 type Owner struct {
 	writer string
 	table  *Table
 	policy Policy
 
-	epoch   uint64 // epoch is the lease's epoch; 0 while the lease is not held.
-	pending map[Key]pendingClaim
-	waiting map[Key][]waiter
-	seen    map[Key]time.Time // seen is when a claim without outcome was first met.
-	acks    map[string]string // acks holds the host to acknowledge, by nonce.
-	expired time.Time
+	epoch        uint64 // epoch is the epoch of the lease; 0 while the lease is not held.
+	pending      map[Key]pendingClaim
+	waiting      map[Key][]waiter
+	claimedSince map[Key]time.Time // claimedSince is when this owner first saw a claim without outcome.
+	awaitingAck  map[string]string // awaitingAck maps nonces of outcomes to the host to reply to, if any.
+	lastExpiry   time.Time
 }
 
+// pendingClaim is a claim that was not read back yet.
 type pendingClaim struct {
 	request Request
 	from    string
 }
 
+// waiter is a request that waits for the outcome of another with the same key.
 type waiter struct {
 	request Request
 	from    string
 }
 
-// NewOwner returns the owner's part of a host for one range's table. writer is
-// the host's name as a writer of the log.
+// NewOwner returns an Owner that holds no lease, for the table of a range. The writer is the host's
+// name as a writer of the log.
 func NewOwner(writer string, table *Table, policy Policy) *Owner {
 	o := &Owner{writer: writer, table: table, policy: policy}
 	o.reset()
@@ -55,32 +57,32 @@
 }
 
 func (o *Owner) reset() {
-	o.epoch, o.expired = 0, time.Time{}
+	o.epoch, o.lastExpiry = 0, time.Time{}
 	o.pending = make(map[Key]pendingClaim)
 	o.waiting = make(map[Key][]waiter)
-	o.seen = make(map[Key]time.Time)
-	o.acks = make(map[string]string)
+	o.claimedSince = make(map[Key]time.Time)
+	o.awaitingAck = make(map[string]string)
 }
 
-// SetPolicy replaces the bounds.
+// SetPolicy replaces the policy.
 func (o *Owner) SetPolicy(p Policy) { o.policy = p }
 
-// Serving reports whether the owner's Open has been read back.
+// Serving reports whether the owner's Open was read back and is the latest.
 func (o *Owner) Serving() bool {
 	return o.epoch != 0 && o.table.Epoch() == o.epoch && o.table.Owner() == o.writer
 }
 
-// Waiting returns the number of claims not read back and of requests that wait
-// for another's outcome.
+// Waiting returns the number of claims that were not read back yet and the number of keys with
+// requests that wait for the outcome of another.
 func (o *Owner) Waiting() (pending, waiting int) { return len(o.pending), len(o.waiting) }
 
-// Hold tells the owner which lease it holds; epoch 0 means none.
+// Hold sets the epoch of the lease that the owner holds; 0 means none.
 func (o *Owner) Hold(epoch uint64) Effects {
 	var fx Effects
 	if epoch == o.epoch {
 		return fx
 	}
-	fx.Send = o.dismiss()
+	fx.Send = o.redirectAll()
 	o.reset()
 	o.epoch = epoch
 	if epoch > o.table.Epoch() {
@@ -89,28 +91,28 @@
 	return fx
 }
 
-// dismiss sends everyone who waits to the next owner.
-func (o *Owner) dismiss() []Parcel {
-	var out []Parcel
+// redirectAll replies NotOwner to all unanswered requests, so that they are sent to the next owner.
+func (o *Owner) redirectAll() []Envelope {
+	var out []Envelope
 	for _, p := range o.pending {
-		out = append(out, Parcel{To: p.from, Reply: Reply{Nonce: p.request.Nonce, Result: ResultNotOwner}})
+		out = append(out, Envelope{To: p.from, Reply: Reply{Nonce: p.request.Nonce, Result: ResultNotOwner}})
 	}
 	for _, ws := range o.waiting {
 		for _, w := range ws {
-			out = append(out, Parcel{To: w.from, Reply: Reply{Nonce: w.request.Nonce, Result: ResultNotOwner}})
+			out = append(out, Envelope{To: w.from, Reply: Reply{Nonce: w.request.Nonce, Result: ResultNotOwner}})
 		}
 	}
 	return out
 }
 
-// Request handles a claim from a host.
+// Request processes a claim from a host.
 func (o *Owner) Request(now time.Time, from string, r Request) Effects {
 	var fx Effects
 	if !o.Serving() {
 		return fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultNotOwner})
 	}
 	if p, ok := o.pending[r.Key]; ok {
-		return o.behind(from, r, p.request.Nonce, p.request.Digest)
+		return o.enqueue(from, r, p.request.Nonce, p.request.Digest)
 	}
 	e, ok := o.table.Lookup(r.Key)
 	switch {
@@ -119,24 +121,24 @@
 		fx.Append = append(fx.Append, folder.NewEntry(KindClaim, Claim{Epoch: o.epoch, Request: r}))
 		return fx
 	case e.State == StateClaimed:
-		o.meet(now, r.Key)
+		o.startTimeout(now, r.Key)
 		if e.Nonce == r.Nonce {
 			return fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultWon})
 		}
-		return o.behind(from, r, e.Nonce, e.Digest)
+		return o.enqueue(from, r, e.Nonce, e.Digest)
 	case e.State == StateNotRun:
 		return fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultExpired})
 	}
-	return fx.reply(from, settled(r, e))
+	return fx.reply(from, finalReply(r, e))
 }
 
 func (fx Effects) reply(to string, r Reply) Effects {
-	fx.Send = append(fx.Send, Parcel{To: to, Reply: r})
+	fx.Send = append(fx.Send, Envelope{To: to, Reply: r})
 	return fx
 }
 
-// settled returns the reply for a key whose request is over.
-func settled(r Request, e Entry) Reply {
+// finalReply returns the reply for a key whose outcome is Done or Unknown.
+func finalReply(r Request, e Entry) Reply {
 	switch {
 	case e.Digest != r.Digest:
 		return Reply{Nonce: r.Nonce, Result: ResultMismatch}
@@ -146,16 +148,16 @@
 	return Reply{Nonce: r.Nonce, Result: ResultUnknown}
 }
 
-// behind lets a request wait for the outcome of the one that came before it.
-func (o *Owner) behind(from string, r Request, nonce string, digest Digest) Effects {
+// enqueue lets a request wait for the outcome of an earlier one with the given nonce and digest.
+func (o *Owner) enqueue(from string, r Request, nonce string, digest Digest) Effects {
 	var fx Effects
 	if r.Nonce == nonce {
-		return fx // the same claim again; its answer will come
+		return fx // A repeated claim, which is answered when it is read back.
 	}
 	if r.Digest != digest {
 		return fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultMismatch})
 	}
-	fx = fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultBehind})
+	fx = fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultQueued})
 	for _, w := range o.waiting[r.Key] {
 		if w.request.Nonce == r.Nonce {
 			return fx
@@ -165,8 +167,8 @@
 	return fx
 }
 
-// leave takes a request out of those that wait behind another.
-func (o *Owner) leave(k Key, nonce string) {
+// dequeue removes a request from those that wait for another.
+func (o *Owner) dequeue(k Key, nonce string) {
 	ws := o.waiting[k]
 	for i, w := range ws {
 		if w.request.Nonce == nonce {
@@ -179,36 +181,36 @@
 	}
 }
 
-// Outcome handles a claimant's word on what became of its claim.
+// Outcome processes the outcome of a claim, as reported by its claimant.
 func (o *Owner) Outcome(from string, out Outcome) Effects {
 	var fx Effects
 	if !o.Serving() {
 		return fx.reply(from, Reply{Nonce: out.Nonce, Result: ResultNotOwner, Ack: false})
 	}
-	o.leave(out.Key, out.Nonce)
+	o.dequeue(out.Key, out.Nonce)
 	e, ok := o.table.Lookup(out.Key)
 	p, isPending := o.pending[out.Key]
-	mine := ok && e.Nonce == out.Nonce || isPending && p.request.Nonce == out.Nonce
-	over := ok && e.Nonce == out.Nonce && (e.State == StateDone || e.State == out.State)
-	if !mine || over {
+	matches := ok && e.Nonce == out.Nonce || isPending && p.request.Nonce == out.Nonce
+	final := ok && e.Nonce == out.Nonce && (e.State == StateDone || e.State == out.State)
+	if !matches || final {
 		return fx.reply(from, Reply{Nonce: out.Nonce, Ack: true})
 	}
-	if _, again := o.acks[out.Nonce]; again {
+	if _, awaiting := o.awaitingAck[out.Nonce]; awaiting {
 		return fx
 	}
-	o.acks[out.Nonce] = from
+	o.awaitingAck[out.Nonce] = from
 	fx.Append = append(fx.Append, folder.NewEntry(KindOutcome, Settle{Epoch: o.epoch, Outcome: out}))
 	return fx
 }
 
-// Applied handles a record of the stream that the table has just applied.
+// Applied processes a record of the stream after the table has applied it.
 func (o *Owner) Applied(now time.Time, rec folder.Applied) Effects {
 	var fx Effects
 	if o.epoch == 0 {
 		return fx
 	}
 	if o.table.Epoch() > o.epoch {
-		fx.Send = o.dismiss()
+		fx.Send = o.redirectAll()
 		o.reset()
 		return fx
 	}
@@ -217,19 +219,19 @@
 		case KindClaim:
 			var c Claim
 			if e.Decode(&c) {
-				fx = o.claimed(now, fx, c)
+				fx = o.claimApplied(now, fx, c)
 			}
 		case KindOutcome:
 			var s Settle
 			if e.Decode(&s) {
-				fx = o.settledEntry(now, fx, s)
+				fx = o.outcomeApplied(now, fx, s)
 			}
 		}
 	}
 	return fx
 }
 
-func (o *Owner) claimed(now time.Time, fx Effects, c Claim) Effects {
+func (o *Owner) claimApplied(now time.Time, fx Effects, c Claim) Effects {
 	p, ok := o.pending[c.Key]
 	if !ok || p.request.Nonce != c.Nonce {
 		return fx
@@ -239,16 +241,16 @@
 	if !ok || e.Nonce != c.Nonce {
 		return fx.reply(p.from, Reply{Nonce: c.Nonce, Result: ResultNotOwner})
 	}
-	o.meet(now, c.Key)
-	if e.State != StateClaimed { // its outcome stood in the same record
+	o.startTimeout(now, c.Key)
+	if e.State != StateClaimed { // The record also holds its outcome.
 		return fx.reply(p.from, Reply{Nonce: c.Nonce, Result: ResultExpired})
 	}
 	return fx.reply(p.from, Reply{Nonce: c.Nonce, Result: ResultWon})
 }
 
-func (o *Owner) settledEntry(now time.Time, fx Effects, s Settle) Effects {
-	if to, ok := o.acks[s.Nonce]; ok {
-		delete(o.acks, s.Nonce)
+func (o *Owner) outcomeApplied(now time.Time, fx Effects, s Settle) Effects {
+	if to, ok := o.awaitingAck[s.Nonce]; ok {
+		delete(o.awaitingAck, s.Nonce)
 		if to != "" {
 			fx = fx.reply(to, Reply{Nonce: s.Nonce, Ack: true})
 		}
@@ -257,18 +259,18 @@
 	if !ok || e.State == StateClaimed {
 		return fx
 	}
-	delete(o.seen, s.Key)
-	return o.release(now, fx, s.Key, e)
+	delete(o.claimedSince, s.Key)
+	return o.answerWaiters(now, fx, s.Key, e)
 }
 
-// release answers those who waited for a key's outcome. If the request did not
-// run, the first of them claims the key anew.
-func (o *Owner) release(now time.Time, fx Effects, k Key, e Entry) Effects {
+// answerWaiters answers the requests that waited for a key's outcome. If the request did not run,
+// they claim the key again, in order.
+func (o *Owner) answerWaiters(now time.Time, fx Effects, k Key, e Entry) Effects {
 	waiters := o.waiting[k]
 	delete(o.waiting, k)
 	for _, w := range waiters {
 		if e.State != StateNotRun {
-			fx = fx.reply(w.from, settled(w.request, e))
+			fx = fx.reply(w.from, finalReply(w.request, e))
 			continue
 		}
 		next := o.Request(now, w.from, w.request)
@@ -278,53 +280,53 @@
 	return fx
 }
 
-func (o *Owner) meet(now time.Time, k Key) {
-	if _, ok := o.seen[k]; !ok {
-		o.seen[k] = now
+// startTimeout starts the timeout of a claim unless it runs already.
+func (o *Owner) startTimeout(now time.Time, k Key) {
+	if _, ok := o.claimedSince[k]; !ok {
+		o.claimedSince[k] = now
 	}
 }
 
-// Tick declares claims unknown whose time is up, and forgets old keys. logTime
-// is the log's clock at the newest record read.
+// Tick declares claims Unknown after their timeout and removes old keys. The time of the newest
+// record read, by the log's clock, is logTime.
 func (o *Owner) Tick(now, logTime time.Time) Effects {
 	var fx Effects
 	if !o.Serving() {
 		return fx
 	}
-	o.meetAll(now)
-	for k, since := range o.seen {
+	o.startTimeouts(now)
+	for k, since := range o.claimedSince {
 		e, ok := o.table.Lookup(k)
 		if !ok || e.State != StateClaimed {
-			delete(o.seen, k)
+			delete(o.claimedSince, k)
 			continue
 		}
 		if now.Sub(since) < o.policy.Timeout {
 			continue
 		}
-		if _, again := o.acks[e.Nonce]; again {
+		if _, awaiting := o.awaitingAck[e.Nonce]; awaiting {
 			continue
 		}
-		o.acks[e.Nonce] = ""
+		o.awaitingAck[e.Nonce] = ""
 		s := Settle{Epoch: o.epoch, Outcome: Outcome{Key: k, Nonce: e.Nonce, State: StateUnknown}}
 		fx.Append = append(fx.Append, folder.NewEntry(KindOutcome, s))
 	}
-	if now.Sub(o.expired) >= o.policy.Window/8 {
-		o.expired = now
+	if now.Sub(o.lastExpiry) >= o.policy.Window/8 {
+		o.lastExpiry = now
 		fx.Append = append(fx.Append, folder.NewEntry(KindExpire, Expire{Epoch: o.epoch, Before: logTime.Add(-o.policy.Window)}))
 	}
 	return fx
 }
 
-// meetAll starts the time of claims that an earlier owner left open. It runs
-// once for each epoch.
-func (o *Owner) meetAll(now time.Time) {
-	if !o.expired.IsZero() {
+// startTimeouts starts the timeouts of claims that an earlier owner left open, once per epoch.
+func (o *Owner) startTimeouts(now time.Time) {
+	if !o.lastExpiry.IsZero() {
 		return
 	}
-	o.expired = now
+	o.lastExpiry = now
 	for k, e := range o.table.keys {
 		if e.State == StateClaimed {
-			o.meet(now, k)
+			o.startTimeout(now, k)
 		}
 	}
 }
--- a/claimer/table.go
+++ b/claimer/table.go
@@ -9,7 +9,7 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// The kinds of entries in a range's stream.
+// Kinds of entries in a range's stream.
 const (
 	KindOpen    folder.Kind = "Open"
 	KindClaim   folder.Kind = "Claim"
@@ -17,24 +17,24 @@
 	KindExpire  folder.Kind = "Expire"
 )
 
-// Open begins the time of a new owner.
+// Open begins the epoch of a new owner.
 type Open struct {
 	Epoch uint64
 }
 
-// Claim is a request for a key by its claimant.
+// Claim claims a key for a request.
 type Claim struct {
 	Epoch uint64
 	Request
 }
 
-// Settle records what became of a claim.
+// Settle records the outcome of a claim.
 type Settle struct {
 	Epoch uint64
 	Outcome
 }
 
-// Expire forgets keys whose last change was before a time of the log's clock.
+// Expire removes keys that last changed before a time of the log's clock. It retains claimed keys.
 type Expire struct {
 	Epoch  uint64
 	Before time.Time
@@ -45,11 +45,11 @@
 	Digest Digest
 	Nonce  string
 	State  State
-	At     time.Time // At is the log's time of the last change.
+	At     time.Time // At is the time of the last change by the log's clock.
 	Answer *Answer   `cbor:",omitempty"`
 }
 
-// Table is the fold of one range's stream. It implements folder.State.
+// Table holds the state of the keys of one range. It implements folder.State.
 type Table struct {
 	epoch uint64
 	owner string
@@ -65,16 +65,16 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{keys: make(map[Key]Entry)} }
 
-// Epoch returns the epoch of the last Open.
+// Epoch returns the epoch of the current owner.
 func (t *Table) Epoch() uint64 { return t.epoch }
 
-// Owner returns the writer of the last Open.
+// Owner returns the writer name of the current owner.
 func (t *Table) Owner() string { return t.owner }
 
-// Len returns the number of keys remembered.
+// Len returns the number of retained keys.
 func (t *Table) Len() int { return len(t.keys) }
 
-// Lookup returns the state of a key.
+// Lookup returns the entry of a key and reports whether there is one.
 func (t *Table) Lookup(k Key) (Entry, bool) {
 	e, ok := t.keys[k]
 	return e, ok
@@ -90,23 +90,23 @@
 		}
 	case KindClaim:
 		var c Claim
-		if e.Decode(&c) && t.current(writer, c.Epoch) {
+		if e.Decode(&c) && t.isOwner(writer, c.Epoch) {
 			t.claim(at, c)
 		}
 	case KindOutcome:
 		var s Settle
-		if e.Decode(&s) && t.current(writer, s.Epoch) {
+		if e.Decode(&s) && t.isOwner(writer, s.Epoch) {
 			t.settle(at, s)
 		}
 	case KindExpire:
 		var x Expire
-		if e.Decode(&x) && t.current(writer, x.Epoch) {
+		if e.Decode(&x) && t.isOwner(writer, x.Epoch) {
 			t.expire(x.Before)
 		}
 	}
 }
 
-func (t *Table) current(writer string, epoch uint64) bool {
+func (t *Table) isOwner(writer string, epoch uint64) bool {
 	return epoch == t.epoch && writer == t.owner
 }
 
@@ -117,8 +117,8 @@
 	t.keys[c.Key] = Entry{Digest: c.Digest, Nonce: c.Nonce, State: StateClaimed, At: at.Time}
 }
 
-// settle changes the state of a claim. Done is final; Unknown may still be
-// corrected by the claimant.
+// settle sets the outcome of a claim. Done and NotRun are final; the claimant may still correct
+// Unknown.
 func (t *Table) settle(at folder.Position, s Settle) {
 	e, ok := t.keys[s.Key]
 	if !ok || e.Nonce != s.Nonce || e.State == StateDone || e.State == StateNotRun {
--- a/claimer/table_test.go
+++ b/claimer/table_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// TestTable applies statements in order and looks at one key.
+// TestTable checks the state of one key after a sequence of entries.
 func TestTable(t *testing.T) {
 	open := func(epoch uint64) folder.Entry { return folder.NewEntry(KindOpen, Open{Epoch: epoch}) }
 	for _, c := range []struct {
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestStaleClaimant wins after it gave up: it tells that nothing ran.
-func TestStaleClaimant(t *testing.T) {
+// TestClaimWonAfterDeadline guards against a dispatch, or a key that stays claimed, when a claim is
+// won after its deadline.
+func TestClaimWonAfterDeadline(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewClaimant(Policy{Window: time.Hour, Timeout: 10 * time.Second}, time.Second)
 	c.Start(now, Request{Key: NewKey("w", "k"), Nonce: "n"}, now.Add(time.Second))
--- a/claimer/types.go
+++ b/claimer/types.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Ranges is the number of ranges of keys. Few ranges make few appends: each
-// owner appends at most once in a group commit interval.
+// Ranges is the number of ranges of keys. Fewer ranges cause fewer appends: each owner appends at
+// most once per group commit interval.
 const Ranges = 2
 
 // Key is the digest of a workspace and its idempotency key.
@@ -30,7 +30,7 @@
 	return k
 }
 
-// Range returns the range that k belongs to.
+// Range returns the range that contains k.
 func (k Key) Range() int { return int(k[0]) % Ranges }
 
 // StreamName returns the name of a range's stream in the log.
@@ -45,10 +45,10 @@
 	return names
 }
 
-// LeaseName returns the name of the lease of a range's owner.
+// LeaseName returns the name of the lease that the owner of a range holds.
 func LeaseName(r int) string { return StreamName(r) }
 
-// Digest is the digest of a request's content.
+// Digest is the digest of a request's method, path and body.
 type Digest [16]byte
 
 // NewDigest returns the digest of a request's method, path and body.
@@ -64,32 +64,32 @@
 	return d
 }
 
-// State is what is known of a claimed request.
+// State is the state of a claimed key.
 type State string
 
-// The states of a claim.
+// States of a key.
 const (
-	StateClaimed State = "Claimed" // StateClaimed says that its claimant may run it now.
-	StateDone    State = "Done"    // StateDone says that it ran and was answered.
-	StateNotRun  State = "NotRun"  // StateNotRun says that it did not run; the key is free.
-	StateUnknown State = "Unknown" // StateUnknown says that it may have run.
+	StateClaimed State = "Claimed" // StateClaimed means that the claimant may run the request.
+	StateDone    State = "Done"    // StateDone means that the request ran and was answered.
+	StateNotRun  State = "NotRun"  // StateNotRun means that the request did not run; the key is free.
+	StateUnknown State = "Unknown" // StateUnknown means that the request may have run.
 )
 
-// Answer is the kept answer to a request.
+// Answer is the stored answer to a request.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Request asks for a claim.
+// Request requests a claim of a key.
 type Request struct {
 	Key    Key
 	Digest Digest
-	Nonce  string // Nonce names this claim and no other.
+	Nonce  string // Nonce is unique to the claim.
 }
 
-// Outcome tells what became of a claimed request.
+// Outcome is the outcome of a claimed request.
 type Outcome struct {
 	Key    Key
 	Nonce  string
@@ -100,19 +100,19 @@
 // Result is an owner's answer to a Request.
 type Result string
 
-// The results.
+// Results of a Request.
 const (
 	ResultWon      Result = "Won"      // ResultWon allows the claimant to dispatch once.
-	ResultDone     Result = "Done"     // ResultDone says that the key was answered before.
-	ResultUnknown  Result = "Unknown"  // ResultUnknown says that the key may have run before.
-	ResultMismatch Result = "Mismatch" // ResultMismatch says that the key was used for another request.
-	ResultBehind   Result = "Behind"   // ResultBehind says that an earlier request with the key is under way; another reply follows.
-	ResultNotOwner Result = "NotOwner" // ResultNotOwner says that another host must be asked.
-	ResultExpired  Result = "Expired"  // ResultExpired says that the claim's time was up before it was won.
+	ResultDone     Result = "Done"     // ResultDone means that the key was answered before.
+	ResultUnknown  Result = "Unknown"  // ResultUnknown means that the key may have run before.
+	ResultMismatch Result = "Mismatch" // ResultMismatch means that the key was used for another request.
+	ResultQueued   Result = "Behind"   // ResultQueued awaits an earlier request; another reply follows.
+	ResultNotOwner Result = "NotOwner" // ResultNotOwner means that another host owns the range.
+	ResultExpired  Result = "Expired"  // ResultExpired means that the claim ended before it was won.
 )
 
-// Reply is what an owner sends to a claimant: the answer to a Request, or the
-// acknowledgement of an Outcome if Ack is set.
+// Reply is an owner's message to a claimant: the answer to a Request, or the acknowledgement of an
+// Outcome if Ack is set.
 type Reply struct {
 	Nonce  string
 	Result Result  `cbor:",omitempty"`
@@ -120,8 +120,8 @@
 	Ack    bool    `cbor:",omitempty"`
 }
 
-// Policy bounds claims.
+// Policy holds the time limits of claims.
 type Policy struct {
-	Window  time.Duration // Window is how long keys are remembered.
-	Timeout time.Duration // Timeout is how long a claim may be without outcome.
+	Window  time.Duration // Window is how long keys are retained.
+	Timeout time.Duration // Timeout is the time after which a claim without outcome becomes Unknown.
 }
