--- a/keeper/doc.go
+++ b/keeper/doc.go
@@ -1,35 +1,34 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package keeper knows where computed context is and decides what to keep of
-// it.
+// Package keeper indexes the KV caches of engines and manages the stores to which their
+// contents are offloaded.
 //
-// Context is cut into blocks of text. A block's name is a keyed hash over
-// workspace, model, weight version and all text up to its end, so that a block
-// of another workspace or version cannot be named, let alone read. Runs of
-// blocks are kept in an upstream's store as segments, each named by its last
-// block and numbered by a generation.
+// A prompt is divided into blocks of text. The name of a block is a keyed hash of workspace,
+// model, weight version and all text up to the end of the block, so that requests cannot name,
+// and hence cannot read, blocks of another workspace or version. The store of an upstream holds
+// runs of blocks as segments. A segment is identified by the name of its last block and a
+// generation.
 //
-// Two parts, both free of I/O and clocks:
+// The package has two state machines, which do no I/O and read no clock:
 //
-//   - Index is one host's knowledge of which upstream holds what. What is in
-//     accelerator memory is a guess, who computed it last; what is kept in a store
-//     is told by the upstream's issuer and may be used only for a short time
-//     after it was asked for.
-//   - Store is the issuer's plan for one upstream: what to export, what to free.
+//   - Index records for one host which upstream holds which blocks. The contents of
+//     accelerator memory are estimated from recent placements. The contents of stores are
+//     reported by the host that issues orders to the upstream, the issuer.
+//   - Store plans for the issuer what one upstream exports to its store and what it frees.
 //
-// # The life of a segment
+// # States of a segment
 //
-// Writing ▸ Sealed ▸ Freeing ▸ Freed. Only sealed segments are told to hosts.
-// A host uses what it was told for at most KeptLease after it asked, measured
-// on its own clock; a segment is ordered to be freed only when it has been
-// Freeing for KeptLease and the longest read on top. So no host, late or
-// paused, still refers to it, and no pins need be counted. The generation
-// guards against a name that is kept anew.
+// The states are Writing, Sealed, Freeing and Freed, in this order. The issuer reports only
+// sealed segments. A host may refer to reported segments until KeptLease after it sent its
+// query, by its own clock. The issuer orders an upstream to free a segment only after the
+// segment has been Freeing for KeptLease plus the longest read, when no request can refer to it
+// any more. The generation distinguishes a segment from earlier ones of the same name.
 //
 // # Usage
 //
 //	chain := keeper.NewChain(keeper.Salt(secret, workspace, model, version), text)
-//	found := index.Lookup(now, chain)
+//	var found keeper.Lookup
+//	index.Lookup(now, chain, &found)
 //	index.Placed(now, upstream, chain)
 package keeper
--- a/keeper/index.go
+++ b/keeper/index.go
@@ -7,38 +7,37 @@
 	"time"
 )
 
-// KeptLease is how long a host may use what an issuer told it, from the moment
-// it asked.
+// KeptLease is how long a host may refer to segments that an issuer reported, from the time at
+// which the host sent its query.
 const KeptLease = 3 * time.Second
 
-// maxHolders bounds the upstreams that are remembered for one block.
+// maxHolders bounds the number of upstreams recorded for a block.
 const maxHolders = 3
 
-// IndexOptions set up an index.
+// IndexOptions configures an Index.
 type IndexOptions struct {
-	Capacity int // Capacity bounds the entries for accelerator memory; default 1<<20.
+	Capacity int // Capacity bounds the number of entries for accelerator memory; default 1<<20.
 }
 
-// Index is what one host knows of what upstreams hold. It is not safe for
-// concurrent use.
+// Index records which upstreams hold which blocks. It is not safe for concurrent use.
 type Index struct {
 	opts      IndexOptions
 	ids       map[string]uint16
 	upstreams []indexUpstream
 	hot       map[Name]hotEntry
-	kept      map[Name][]keptSpan // kept has the segments that end with a block, one for each upstream.
+	kept      map[Name][]keptSegment // kept holds stored segments by last block, at most one per upstream.
 	segments  int
-	ring      []Name // ring holds the names of hot entries in order of their making, for eviction.
-	next      int
+	ring      []Name // ring holds the names of hot entries in order of insertion, for eviction.
+	ringPos   int
 }
 
 type indexUpstream struct {
 	name      string
-	epoch     uint32    // epoch grows when all that an upstream held is gone.
-	keptUntil time.Time // keptUntil is until when kept segments may be offered.
+	epoch     uint32    // epoch is incremented when the upstream has lost its memory and store.
+	keptUntil time.Time // keptUntil is the time until which stored segments may be used.
 }
 
-// hotEntry says which upstreams computed a block last.
+// hotEntry holds the upstreams that computed a block last.
 type hotEntry struct {
 	holders [maxHolders]hotHolder
 }
@@ -46,29 +45,34 @@
 type hotHolder struct {
 	upstream uint16
 	epoch    uint32
-	at       int64 // at is in nanoseconds of Unix time; 0 marks a free place.
+	placedAt int64 // placedAt is in nanoseconds of Unix time; 0 marks an unused slot.
 }
 
-type keptSpan struct {
+// keptSegment is a segment in an upstream's store.
+type keptSegment struct {
 	upstream   uint16
 	from       uint16 // from is the number of blocks before the segment.
 	generation uint64
 	wire       [nameBytes]byte
 }
 
-// NewIndex returns an index that knows nothing.
+// NewIndex returns an empty index.
 func NewIndex(opts IndexOptions) *Index {
 	if opts.Capacity == 0 {
 		opts.Capacity = 1 << 20
 	}
-	return &Index{opts: opts, ids: make(map[string]uint16), hot: make(map[Name]hotEntry), kept: make(map[Name][]keptSpan)}
+	return &Index{
+		opts: opts,
+		ids:  make(map[string]uint16),
+		hot:  make(map[Name]hotEntry),
+		kept: make(map[Name][]keptSegment),
+	}
 }
 
-// Len returns the number of entries for accelerator memory and for stores.
+// Len returns the number of entries for accelerator memory and of stored segments.
 func (x *Index) Len() (hot, kept int) { return len(x.hot), x.segments }
 
-// ID returns the number of an upstream, which stays the same for the life of
-// the index.
+// ID returns the number of an upstream, which is assigned by the first call and never changes.
 func (x *Index) ID(upstream string) uint16 {
 	id, ok := x.ids[upstream]
 	if !ok {
@@ -79,15 +83,15 @@
 	return id
 }
 
-// Reset forgets all that an upstream held: it was started anew.
+// Reset removes all blocks of an upstream that was restarted.
 func (x *Index) Reset(upstream string) {
 	id := x.ID(upstream)
 	x.upstreams[id].epoch++
 	x.clearKept(id)
 }
 
-// Placed notes that an upstream has computed a prompt. Its last block and those
-// at powers of two are entered, so that prompts that share a head are found.
+// Placed records that an upstream has computed a prompt. It inserts the last block and those at
+// powers of two, so that lookups of prompts with a shared prefix find a match.
 func (x *Index) Placed(now time.Time, upstream string, c Chain) {
 	id := x.ID(upstream)
 	n := c.Len()
@@ -95,75 +99,77 @@
 		return
 	}
 	for p := 1; p < n; p *= 2 {
-		x.enter(now, id, c.At(p-1))
+		x.insertHot(now, id, c.At(p-1))
 	}
-	x.enter(now, id, c.At(n-1))
+	x.insertHot(now, id, c.At(n-1))
 }
 
-// PlacedEnd notes a placement of which another host told only the last block.
+// PlacedEnd records a placement by another host, which reports only the last block.
 func (x *Index) PlacedEnd(now time.Time, upstream string, end Name) {
-	x.enter(now, x.ID(upstream), end)
+	x.insertHot(now, x.ID(upstream), end)
 }
 
-func (x *Index) enter(now time.Time, id uint16, name Name) {
+// insertHot records an upstream as holder of a block, in place of its earlier placement or else
+// of the oldest one.
+func (x *Index) insertHot(now time.Time, id uint16, name Name) {
 	e, ok := x.hot[name]
 	if !ok {
-		x.makeRoom(name)
+		x.pushRing(name)
 	}
 	oldest := 0
 	for i, h := range e.holders {
-		if h.at != 0 && h.upstream == id {
+		if h.placedAt != 0 && h.upstream == id {
 			oldest = i
 			break
 		}
-		if h.at < e.holders[oldest].at {
+		if h.placedAt < e.holders[oldest].placedAt {
 			oldest = i
 		}
 	}
-	e.holders[oldest] = hotHolder{upstream: id, epoch: x.upstreams[id].epoch, at: now.UnixNano()}
+	e.holders[oldest] = hotHolder{upstream: id, epoch: x.upstreams[id].epoch, placedAt: now.UnixNano()}
 	x.hot[name] = e
 }
 
-// makeRoom puts a new name into the ring and drops the one it replaces.
-func (x *Index) makeRoom(name Name) {
+// pushRing adds a name to the ring. If the ring is full, it evicts the oldest name.
+func (x *Index) pushRing(name Name) {
 	if len(x.ring) < x.opts.Capacity {
 		x.ring = append(x.ring, name)
 		return
 	}
-	delete(x.hot, x.ring[x.next])
-	x.ring[x.next] = name
-	x.next = (x.next + 1) % len(x.ring)
+	delete(x.hot, x.ring[x.ringPos])
+	x.ring[x.ringPos] = name
+	x.ringPos = (x.ringPos + 1) % len(x.ring)
 }
 
-// Kept is one segment as an issuer tells it.
+// Kept is a stored segment as reported by an issuer.
 type Kept struct {
 	Upstream   string
-	Wire       [16]byte // Wire is the name of its last block.
+	Wire       [16]byte // Wire is the raw name of the last block.
 	Generation uint64
-	From       int // From is the number of blocks before it.
+	From       int // From is the number of blocks before the segment.
 }
 
-// SetKept adds or replaces a segment.
+// SetKept adds or replaces a stored segment.
 func (x *Index) SetKept(k Kept) {
-	id, name := x.ID(k.Upstream), nameOf(k.Wire)
-	span := keptSpan{upstream: id, generation: k.Generation, from: uint16(k.From), wire: k.Wire}
+	id, name := x.ID(k.Upstream), shortName(k.Wire)
+	seg := keptSegment{upstream: id, generation: k.Generation, from: uint16(k.From), wire: k.Wire}
 	list := x.kept[name]
 	for i := range list {
 		if list[i].upstream == id {
-			list[i] = span
+			list[i] = seg
 			return
 		}
 	}
-	x.kept[name] = append(list, span)
+	x.kept[name] = append(list, seg)
 	x.segments++
 }
 
-// RemoveKept drops a segment.
+// RemoveKept removes a stored segment.
 func (x *Index) RemoveKept(upstream string, wire [16]byte) {
-	x.remove(nameOf(wire), x.ID(upstream))
+	x.removeSegment(shortName(wire), x.ID(upstream))
 }
 
-func (x *Index) remove(name Name, id uint16) {
+func (x *Index) removeSegment(name Name, id uint16) {
 	list := x.kept[name]
 	for i := range list {
 		if list[i].upstream != id {
@@ -179,26 +185,26 @@
 	}
 }
 
-// ClearKept drops all segments of an upstream.
+// ClearKept removes all stored segments of an upstream.
 func (x *Index) ClearKept(upstream string) { x.clearKept(x.ID(upstream)) }
 
 func (x *Index) clearKept(id uint16) {
 	for name := range x.kept {
-		x.remove(name, id)
+		x.removeSegment(name, id)
 	}
 }
 
-// span returns the segment of an upstream that ends with a block.
-func (x *Index) span(name Name, id uint16) (keptSpan, bool) {
+// findSegment returns the stored segment of an upstream that ends with a block.
+func (x *Index) findSegment(name Name, id uint16) (keptSegment, bool) {
 	for _, s := range x.kept[name] {
 		if s.upstream == id {
 			return s, true
 		}
 	}
-	return keptSpan{}, false
+	return keptSegment{}, false
 }
 
-// Refresh allows an upstream's segments to be offered until a time.
+// Refresh allows the stored segments of an upstream to be used until a time.
 func (x *Index) Refresh(upstream string, until time.Time) {
 	u := &x.upstreams[x.ID(upstream)]
 	if until.After(u.keptUntil) {
@@ -206,20 +212,20 @@
 	}
 }
 
-// Found is what one upstream is believed to hold of a prompt.
-type Found struct {
+// Match is the part of a prompt that one upstream is estimated to hold.
+type Match struct {
 	Upstream uint16
-	Cached   int // Cached is the number of leading blocks that it computed last.
-	Kept     int // Kept is the number of leading blocks in memory and store together.
+	Cached   int // Cached is the number of leading blocks in accelerator memory.
+	Kept     int // Kept is the number of leading blocks in the store.
 }
 
-// Lookup is the answer of an index about one prompt. It may be reused.
+// Lookup is the result of Index.Lookup. It may be reused.
 type Lookup struct {
-	Found []Found
-	Known int // Known is the number of leading blocks that were computed before.
+	Found []Match
+	Known int // Known is the number of leading blocks that some upstream has computed before.
 }
 
-// Lookup fills l with what is known of a prompt, the longest match first.
+// Lookup fills l with the matches for a prompt, the longest first.
 func (x *Index) Lookup(now time.Time, c Chain, l *Lookup) {
 	l.Found, l.Known = l.Found[:0], 0
 	for i := c.Len() - 1; i >= 0; i-- {
@@ -227,34 +233,34 @@
 		if e, ok := x.hot[name]; ok {
 			l.Known = max(l.Known, i+1)
 			for _, h := range e.holders {
-				if h.at != 0 && h.epoch == x.upstreams[h.upstream].epoch {
-					l.add(h.upstream, i+1)
+				if h.placedAt != 0 && h.epoch == x.upstreams[h.upstream].epoch {
+					l.addCached(h.upstream, i+1)
 				}
 			}
 		}
 		for _, s := range x.kept[name] {
 			l.Known = max(l.Known, i+1)
-			if now.Before(x.upstreams[s.upstream].keptUntil) && x.whole(s.upstream, c, i+1) {
+			if now.Before(x.upstreams[s.upstream].keptUntil) && x.covers(s.upstream, c, i+1) {
 				l.addKept(s.upstream, i+1)
 			}
 		}
 	}
 }
 
-func (l *Lookup) add(id uint16, blocks int) {
+func (l *Lookup) addCached(id uint16, blocks int) {
 	for i := range l.Found {
 		if l.Found[i].Upstream == id {
 			l.Found[i].Cached = max(l.Found[i].Cached, blocks)
 			return
 		}
 	}
-	l.Found = append(l.Found, Found{Upstream: id, Cached: blocks})
+	l.Found = append(l.Found, Match{Upstream: id, Cached: blocks})
 }
 
-// whole reports whether the segments of an upstream make up the first n blocks.
-func (x *Index) whole(id uint16, c Chain, n int) bool {
+// covers reports whether the stored segments of an upstream cover the first n blocks of a prompt.
+func (x *Index) covers(id uint16, c Chain, n int) bool {
 	for n > 0 {
-		s, ok := x.span(c.At(n-1), id)
+		s, ok := x.findSegment(c.At(n-1), id)
 		if !ok || int(s.from) >= n {
 			return false
 		}
@@ -270,25 +276,25 @@
 			return
 		}
 	}
-	l.Found = append(l.Found, Found{Upstream: id, Kept: blocks})
+	l.Found = append(l.Found, Match{Upstream: id, Kept: blocks})
 }
 
-// Ref names one generation of a segment for an order to restore it.
+// Ref identifies a segment in an order to restore or to free it.
 type Ref struct {
 	Wire       [16]byte
 	Generation uint64
 }
 
-// Segments returns the segments of an upstream that make up the first n blocks
-// of a prompt, in order; nil if they do not, or may not be offered any more.
+// Segments returns the stored segments of an upstream that cover the first n blocks of a prompt,
+// in order; nil if there are none or they may not be used any more.
 func (x *Index) Segments(now time.Time, upstream string, c Chain, n int) []Ref {
 	id := x.ID(upstream)
-	if now.After(x.upstreams[id].keptUntil) || !x.whole(id, c, n) {
+	if now.After(x.upstreams[id].keptUntil) || !x.covers(id, c, n) {
 		return nil
 	}
 	var refs []Ref
 	for n > 0 {
-		s, _ := x.span(c.At(n-1), id)
+		s, _ := x.findSegment(c.At(n-1), id)
 		refs = append(refs, Ref{Wire: s.wire, Generation: s.generation})
 		n = int(s.from)
 	}
@@ -298,12 +304,11 @@
 	return refs
 }
 
-// KeptBlocks returns the number of leading blocks of a prompt that an
-// upstream's store has.
+// KeptBlocks returns the number of leading blocks of a prompt in an upstream's store.
 func (x *Index) KeptBlocks(upstream string, c Chain) int {
 	id := x.ID(upstream)
 	for i := c.Len() - 1; i >= 0; i-- {
-		if _, ok := x.span(c.At(i), id); ok && x.whole(id, c, i+1) {
+		if _, ok := x.findSegment(c.At(i), id); ok && x.covers(id, c, i+1) {
 			return i + 1
 		}
 	}
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -54,15 +54,15 @@
 	var l Lookup
 	x.Lookup(start, longer, &l)
 	assert.Equal(t, l.Known, 10)
-	assert.DeepEqual(t, l.Found, []Found{{Upstream: x.ID("a"), Cached: 10}})
+	assert.DeepEqual(t, l.Found, []Match{{Upstream: x.ID("a"), Cached: 10}})
 	x.Reset("a")
 	x.Lookup(start, longer, &l)
 	assert.Equal(t, len(l.Found), 0)
-	assert.Equal(t, l.Known, 10) // it was computed before, wherever
+	assert.Equal(t, l.Known, 10) // Reset does not affect which blocks are known.
 }
 
-// TestKeptOnlyWhileTold offers segments only within the lease and only when all
-// before them are there.
+// TestKeptOnlyWhileTold guards against references to segments after their lease has ended or
+// when a preceding segment is missing.
 func TestKeptOnlyWhileTold(t *testing.T) {
 	x := NewIndex(IndexOptions{})
 	c := NewChain("s", textOf(10, "d"))
@@ -70,10 +70,10 @@
 	x.SetKept(Kept{Upstream: "a", Wire: c.Raw(7), Generation: 2, From: 4})
 	var l Lookup
 	x.Lookup(start, c, &l)
-	assert.Equal(t, len(l.Found), 0) // nothing was told yet
+	assert.Equal(t, len(l.Found), 0) // No lease was granted yet.
 	x.Refresh("a", start.Add(KeptLease))
 	x.Lookup(start, c, &l)
-	assert.DeepEqual(t, l.Found, []Found{{Upstream: x.ID("a"), Kept: 8}})
+	assert.DeepEqual(t, l.Found, []Match{{Upstream: x.ID("a"), Kept: 8}})
 	refs := x.Segments(start, "a", c, 8)
 	assert.Equal(t, len(refs), 2)
 	assert.Equal(t, refs[0].Generation, uint64(1))
@@ -83,15 +83,15 @@
 	assert.Assert(t, x.Segments(late, "a", c, 8) == nil)
 	x.RemoveKept("a", c.Raw(3))
 	x.Lookup(start, c, &l)
-	assert.Equal(t, len(l.Found), 0) // the head is gone
+	assert.Equal(t, len(l.Found), 0) // The preceding segment is missing.
 }
 
-// TestNoReferenceToFreed drives a store and hosts that ask late, lose answers
-// and are paused: no host offers a segment at or after the order to free it.
+// TestNoReferenceToFreed guards against references to freed segments by hosts that query late,
+// lose answers or are paused.
 func TestNoReferenceToFreed(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		st := NewStore(StoreOptions{Capacity: 40, LongestRead: 2 * time.Second})
+		st := NewStore(StoreOptions{Capacity: 40, MaxReadTime: 2 * time.Second})
 		type host struct {
 			index   *Index
 			version uint64
@@ -99,7 +99,7 @@
 		}
 		hosts := []*host{{index: NewIndex(IndexOptions{})}, {index: NewIndex(IndexOptions{})}}
 		chains := map[[16]byte]Chain{}
-		freed := map[[16]byte]uint64{} // freed holds generations that were ordered to be freed.
+		freed := map[[16]byte]uint64{} // freed holds the generations of freed segments.
 		now := start
 		var generation uint64
 		for step := range 400 {
@@ -123,7 +123,7 @@
 			assert.Assert(t, st.Used() <= 40)
 			for _, h := range hosts {
 				if now.Sub(h.asked) < time.Second || rng.IntN(3) == 0 {
-					continue // paused, or the answer is lost
+					continue // The host is paused, or the answer is lost.
 				}
 				h.asked = now
 				changes, full := st.Since(h.version)
@@ -168,7 +168,7 @@
 	}
 }
 
-// BenchmarkChain measures the naming of a prompt of 8,192 tokens.
+// BenchmarkChain measures the hashing of a prompt of 8,192 tokens.
 func BenchmarkChain(b *testing.B) {
 	text := textOf(128, "y")
 	b.SetBytes(int64(len(text)))
@@ -178,7 +178,7 @@
 	}
 }
 
-// BenchmarkMemory reports the bytes of an index for each kept prompt.
+// BenchmarkMemory reports the bytes of an index per stored segment.
 func BenchmarkMemory(b *testing.B) {
 	const prompts = 100000
 	var before, after runtime.MemStats
--- a/keeper/names.go
+++ b/keeper/names.go
@@ -10,21 +10,20 @@
 	"encoding/hex"
 )
 
-// Sizes of blocks. A prompt is cut by bytes, because hosts have no tokenizer.
+// Sizes of blocks. Blocks are measured in bytes, because hosts have no tokenizer.
 const (
-	BytesPerToken  = 4  // BytesPerToken is the mean length of a token of text.
-	TokensPerBlock = 64 // TokensPerBlock is the size of a block.
+	BytesPerToken  = 4  // BytesPerToken is the assumed mean length of a token.
+	TokensPerBlock = 64 // TokensPerBlock is the assumed number of tokens in a block.
 	BlockBytes     = BytesPerToken * TokensPerBlock
 	nameBytes      = 16
 )
 
-// Name identifies a block and all the text before it within one workspace,
-// model and weight version. It is the first 64 bits of the wire form.
+// Name identifies a block and all text before it within one workspace, model and weight version.
+// It is the first 64 bits of the raw name.
 type Name uint64
 
-// Salt returns the root of the names of one workspace's blocks for one weight
-// version: an HMAC (RFC 2104) by the deployment's secret. Without the secret
-// no caller can name another workspace's blocks.
+// Salt returns the salt for the block names of one workspace, model and weight version: an HMAC
+// (RFC 2104) under the deployment's secret, without which callers cannot compute block names.
 func Salt(secret []byte, workspace, model, version string) string {
 	m := hmac.New(sha256.New, secret)
 	for _, part := range []string{workspace, model, version} {
@@ -36,17 +35,17 @@
 	return hex.EncodeToString(m.Sum(nil)[:nameBytes])
 }
 
-// Chain is the names of the whole blocks of one prompt, in order.
+// Chain holds the names of the complete blocks of a prompt, in order.
 type Chain struct {
 	raw []byte
 }
 
-// NewChain names the whole blocks of a text. Each name is the SHA-256 digest
-// of the name before it and the block's text, cut to 16 bytes.
+// NewChain returns the names of the complete blocks of a text. Each name is the SHA-256 digest of
+// the preceding name and the block's text, truncated to 16 bytes.
 func NewChain(salt, text string) Chain { return Chain{}.Extend(salt, text) }
 
-// Extend returns the chain of a text that goes on after the blocks of c. The
-// text must begin where the last block of c ends.
+// Extend returns c with the complete blocks of a text added. The text must begin where the last
+// block of c ends.
 func (c Chain) Extend(salt, text string) Chain {
 	n := len(text) / BlockBytes
 	out := Chain{raw: make([]byte, len(c.raw), len(c.raw)+n*nameBytes)}
@@ -73,22 +72,22 @@
 // At returns the name of block i.
 func (c Chain) At(i int) Name { return Name(binary.BigEndian.Uint64(c.raw[i*nameBytes:])) }
 
-// Wire returns the form of block i's name that upstreams use.
+// Wire returns the name of block i in hexadecimal, as upstreams use it.
 func (c Chain) Wire(i int) string { return hex.EncodeToString(c.raw[i*nameBytes : (i+1)*nameBytes]) }
 
-// Raw returns the 16 bytes of block i's name.
+// Raw returns the raw name of block i.
 func (c Chain) Raw(i int) (raw [nameBytes]byte) {
 	copy(raw[:], c.raw[i*nameBytes:])
 	return raw
 }
 
-// nameOf returns the short form of a raw name.
-func nameOf(raw [nameBytes]byte) Name { return Name(binary.BigEndian.Uint64(raw[:])) }
+// shortName truncates a raw name to 64 bits.
+func shortName(raw [nameBytes]byte) Name { return Name(binary.BigEndian.Uint64(raw[:])) }
 
-// WireName returns the form of a raw name that upstreams use.
+// WireName returns a raw name in hexadecimal, as upstreams use it.
 func WireName(raw [16]byte) string { return hex.EncodeToString(raw[:]) }
 
-// ParseWire reads the form that upstreams use and reports whether it could.
+// ParseWire parses a name in hexadecimal and reports whether it is valid.
 func ParseWire(wire string) (raw [16]byte, ok bool) {
 	b, err := hex.DecodeString(wire)
 	if err != nil || len(b) != nameBytes {
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -11,112 +11,113 @@
 // SegmentState is the state of a segment in a store.
 type SegmentState string
 
-// The states of a segment.
+// States of a segment.
 const (
-	SegmentWriting SegmentState = "Writing" // SegmentWriting is being exported.
-	SegmentSealed  SegmentState = "Sealed"  // SegmentSealed is whole and may be offered.
-	SegmentFreeing SegmentState = "Freeing" // SegmentFreeing is no longer offered and waits for its last readers.
-	SegmentFreed   SegmentState = "Freed"   // SegmentFreed was ordered to be freed.
+	SegmentWriting SegmentState = "Writing" // SegmentWriting is a segment that is being exported.
+	SegmentSealed  SegmentState = "Sealed"  // SegmentSealed is a complete segment, reported to hosts.
+	SegmentFreeing SegmentState = "Freeing" // SegmentFreeing is no longer reported and awaits the end of reads.
+	SegmentFreed   SegmentState = "Freed"   // SegmentFreed is a segment with an order to free it.
 )
 
-// Turn is the end of one turn of a conversation: a prompt that an upstream has
-// just computed.
+// Turn is a completed turn of a conversation: a prompt that an upstream has just computed.
 type Turn struct {
 	Upstream string
-	Blocks   [][16]byte // Blocks are the names of the blocks that are not kept yet.
+	Blocks   [][16]byte // Blocks holds the raw names of the blocks that are not in the store yet.
 	From     int        // From is the number of blocks before them.
 	Parent   [16]byte   // Parent is the name of the block before them, if From is not 0.
-	Chance   float64    // Chance is the estimated chance that the conversation returns.
+	Chance   float64    // Chance is the estimated probability of a next turn.
 }
 
-// StoreOptions set up the plan for one upstream.
+// StoreOptions configures a Store.
 type StoreOptions struct {
-	Capacity    int           // Capacity is the size of the store in blocks; 0 keeps nothing.
-	BlockBytes  float64       // BlockBytes is the size of a kept block.
-	LinkRate    float64       // LinkRate is of the link to the store, in bytes per second.
-	ExportShare float64       // ExportShare is the part of the link that exports may take; default 0.3.
-	LongestRead time.Duration // LongestRead bounds the time from a request's dispatch to the end of its import; default LongestWait and 7 s.
-	LeastChance float64       // LeastChance is the chance of return below which nothing is exported; default 0.05.
+	Capacity    int     // Capacity is the size of the store in blocks; 0 disables exports.
+	BlockBytes  float64 // BlockBytes is the size of a stored block.
+	LinkRate    float64 // LinkRate is the rate of the link to the store in bytes per second.
+	ExportShare float64 // ExportShare is the share of the link rate for exports; default 0.3.
+	// MaxReadTime bounds the time from a request's dispatch to the end of its import; default
+	// LongestWait plus 7 s.
+	MaxReadTime time.Duration
+	MinChance   float64 // MinChance is the minimum Turn.Chance for an export; default 0.05.
 }
 
-// LongestWait is how long a request may wait at an upstream before its import
-// begins; later it is computed without.
+// LongestWait bounds the time that a request waits at an upstream before its import begins. After
+// a longer wait the upstream computes the prompt instead.
 const LongestWait = 5 * time.Second
 
-// deliveryAndImport bounds the way of a request to an upstream and the import
-// itself.
-const deliveryAndImport = 7 * time.Second
+// maxDeliveryAndImport bounds the delivery of a request to an upstream plus the import.
+const maxDeliveryAndImport = 7 * time.Second
 
-// Bounds of a plan.
+// Limits of a Store.
 const (
-	maxQueued     = 512              // maxQueued bounds the turns that wait for their export.
-	exportTimeout = 30 * time.Second // exportTimeout is when an export that was not sealed is given up.
-	freeAgain     = 5 * time.Second  // freeAgain is when an order to free is repeated.
-	halfLife      = 24 * time.Hour   // halfLife is the age at which a segment's value has halved.
+	maxQueuedTurns    = 512              // maxQueuedTurns bounds the turns that wait for export.
+	exportTimeout     = 30 * time.Second // exportTimeout bounds the time in the queue and of an export.
+	freeRetryInterval = 5 * time.Second  // freeRetryInterval is the time between orders to free.
+	valueHalfLife     = 24 * time.Hour   // valueHalfLife without use halves a segment's value.
 )
 
-// Store is the plan of an issuer for one upstream's store. It is a state
-// machine without clock or I/O.
+// Store plans the contents of one upstream's store. It is a state machine that does no I/O and
+// reads no clock. It is not safe for concurrent use.
 type Store struct {
-	opts     StoreOptions
-	segments map[[16]byte]*segment
-	writing  map[[16]byte]struct{} // writing are the segments that are being exported.
-	leaving  map[[16]byte]struct{} // leaving are the segments that are freeing or freed.
-	leavingN int                   // leavingN is the number of blocks of those.
-	queue    []queuedTurn
-	used     int // used is the number of blocks of all segments that are not freed.
-	nextFree time.Time
-	changes  []Change
-	version  uint64
+	opts          StoreOptions
+	segments      map[[16]byte]*segment
+	writing       map[[16]byte]struct{} // writing holds the segments that are being exported.
+	freeing       map[[16]byte]struct{} // freeing holds the segments in state Freeing or Freed.
+	freeingBlocks int                   // freeingBlocks is the number of their blocks.
+	queue         []queuedTurn
+	used          int // used is the number of blocks of all segments, including those that are being freed.
+	linkIdleAt    time.Time
+	changes       []Change
+	version       uint64
 }
 
 type segment struct {
-	state      SegmentState
-	generation uint64
-	blocks     int
-	from       int
-	parent     [16]byte
-	children   int
-	chance     float64
-	at         time.Time // at is when the state was entered.
-	used       time.Time // used is when the segment was exported or last asked for.
-	ordered    time.Time // ordered is when it was last ordered to be freed.
+	state         SegmentState
+	generation    uint64
+	blocks        int
+	from          int
+	parent        [16]byte
+	children      int
+	chance        float64
+	stateSince    time.Time // stateSince is when the state was entered.
+	lastUsed      time.Time // lastUsed is when the segment was exported or last occurred in a turn.
+	freeOrderedAt time.Time // freeOrderedAt is when the last order to free it was issued.
 }
 
 type queuedTurn struct {
-	turn  Turn
-	value float64
-	at    time.Time
+	turn     Turn
+	value    float64
+	queuedAt time.Time
 }
 
-// Change is one change of the segments that may be offered.
+// Change is one change of the set of sealed segments.
 type Change struct {
 	Version uint64
 	Removed bool
 	Kept    Kept
 }
 
-// NewStore returns the plan for an empty store.
+// NewStore returns a Store without segments.
 func NewStore(opts StoreOptions) *Store {
 	if opts.ExportShare == 0 {
 		opts.ExportShare = 0.3
 	}
-	if opts.LongestRead == 0 {
-		opts.LongestRead = LongestWait + deliveryAndImport
+	if opts.MaxReadTime == 0 {
+		opts.MaxReadTime = LongestWait + maxDeliveryAndImport
 	}
-	if opts.LeastChance == 0 {
-		opts.LeastChance = 0.05
+	if opts.MinChance == 0 {
+		opts.MinChance = 0.05
 	}
 	return &Store{
 		opts:     opts,
 		segments: make(map[[16]byte]*segment),
 		writing:  make(map[[16]byte]struct{}),
-		leaving:  make(map[[16]byte]struct{}),
+		freeing:  make(map[[16]byte]struct{}),
 	}
 }
 
-// Replace begins the plan anew with another's options, because the store was
-// read anew. Versions go on, so that hosts are told all.
+// Replace replaces the segments and options by those of a new, empty Store, because the contents
+// are read again. It retains the queue, increments the version and drops the change history, so
+// that hosts receive all segments.
 func (s *Store) Replace(fresh *Store) {
 	version := s.version
 	queue := s.queue
@@ -125,58 +126,58 @@
 	s.queue = queue
 }
 
-// Used returns the number of blocks in the store, as far as is known.
+// Used returns the number of blocks in the store.
 func (s *Store) Used() int { return s.used }
 
 // Len returns the number of segments.
 func (s *Store) Len() int { return len(s.segments) }
 
-// Version returns the number of the newest change.
+// Version returns the version of the latest change.
 func (s *Store) Version() uint64 { return s.version }
 
-// Turn puts the end of a turn in the queue for export. The value of a turn is
-// the computing that it is expected to save for each byte over the link.
+// Turn queues the blocks of a turn for export, unless they are stored already, the preceding
+// segment is not sealed, or a next turn is unlikely.
 func (s *Store) Turn(now time.Time, t Turn) {
-	if len(t.Blocks) == 0 || t.Chance < s.opts.LeastChance || s.opts.Capacity == 0 {
+	if len(t.Blocks) == 0 || t.Chance < s.opts.MinChance || s.opts.Capacity == 0 {
 		return
 	}
 	end := t.Blocks[len(t.Blocks)-1]
 	if seg := s.segments[end]; seg != nil {
-		seg.used = now
+		seg.lastUsed = now
 		return
 	}
 	if parent := s.segments[t.Parent]; t.From > 0 && (parent == nil || parent.state != SegmentSealed) {
-		return // its head is not kept any more
+		return // The preceding segment is not in the store any more.
 	} else if parent != nil {
-		parent.used = now
+		parent.lastUsed = now
 	}
-	s.queue = append(s.queue, queuedTurn{turn: t, value: t.Chance, at: now})
-	if len(s.queue) > maxQueued {
+	s.queue = append(s.queue, queuedTurn{turn: t, value: t.Chance, queuedAt: now})
+	if len(s.queue) > maxQueuedTurns {
 		sort.SliceStable(s.queue, func(i, j int) bool { return s.queue[i].value > s.queue[j].value })
-		s.queue = s.queue[:maxQueued]
+		s.queue = s.queue[:maxQueuedTurns]
 	}
 }
 
-// Plan is what to order an upstream to do.
+// Plan holds the orders for an upstream.
 type Plan struct {
 	Export []Export
 	Free   []Ref
 }
 
-// Export is a run of blocks that is to become a segment.
+// Export is a run of blocks to export as one segment.
 type Export struct {
 	Blocks [][16]byte
 	From   int      // From is the number of blocks before the run.
 	Parent [16]byte // Parent is the name of the block before the run, if From is not 0.
 }
 
-// Tick returns what to order now.
+// Tick returns the orders to issue now.
 func (s *Store) Tick(now time.Time) Plan {
 	var p Plan
-	s.giveUp(now)
-	s.makeRoom(now)
-	p.Free = s.freeable(now)
-	if !now.Before(s.nextFree) {
+	s.dropStaleExports(now)
+	s.beginFreeing(now)
+	p.Free = s.freeOrders(now)
+	if !now.Before(s.linkIdleAt) {
 		if e, ok := s.nextExport(now); ok {
 			p.Export = append(p.Export, e)
 		}
@@ -184,21 +185,22 @@
 	return p
 }
 
-// giveUp drops exports that were never sealed: the blocks were evicted first.
-func (s *Store) giveUp(now time.Time) {
+// dropStaleExports removes segments that were not sealed in time, as when the engine evicted
+// their blocks first.
+func (s *Store) dropStaleExports(now time.Time) {
 	for name := range s.writing {
-		if seg := s.segments[name]; now.Sub(seg.at) > exportTimeout {
-			s.drop(name, seg)
+		if seg := s.segments[name]; now.Sub(seg.stateSince) > exportTimeout {
+			s.removeSegment(name, seg)
 		}
 	}
 }
 
-// nextExport takes the most valuable turn and gives the link time to carry it
-// at the share for exports.
+// nextExport removes the most valuable turn from the queue and reserves the link for the time that
+// its export takes at the rate for exports.
 func (s *Store) nextExport(now time.Time) (Export, bool) {
 	best := -1
 	for i, q := range s.queue {
-		if now.Sub(q.at) > exportTimeout {
+		if now.Sub(q.queuedAt) > exportTimeout {
 			continue
 		}
 		if best < 0 || q.value > s.queue[best].value {
@@ -222,28 +224,36 @@
 		}
 		parent.children++
 	}
-	s.segments[end] = &segment{state: SegmentWriting, blocks: n, from: t.From, parent: t.Parent, chance: t.Chance, at: now, used: now}
+	s.segments[end] = &segment{
+		state:      SegmentWriting,
+		blocks:     n,
+		from:       t.From,
+		parent:     t.Parent,
+		chance:     t.Chance,
+		stateSince: now,
+		lastUsed:   now,
+	}
 	s.writing[end] = struct{}{}
 	s.used += n
 	if rate := s.opts.LinkRate * s.opts.ExportShare; rate > 0 {
-		s.nextFree = now.Add(time.Duration(float64(n) * s.opts.BlockBytes / rate * float64(time.Second)))
+		s.linkIdleAt = now.Add(time.Duration(float64(n) * s.opts.BlockBytes / rate * float64(time.Second)))
 	}
 	return Export{Blocks: t.Blocks, From: t.From, Parent: t.Parent}, true
 }
 
-// Above the high water mark of a store segments are freed down to the low one.
+// Shares of the capacity: above the high watermark, segments are freed down to the low one.
 const (
-	highWater = 0.95
-	lowWater  = 0.90
+	highWatermark = 0.95
+	lowWatermark  = 0.90
 )
 
-// makeRoom begins to free the least valuable segments when the store is nearly
-// full. A segment on which others rest is not freed before them.
-func (s *Store) makeRoom(now time.Time) {
-	if float64(s.used-s.leavingN) <= highWater*float64(s.opts.Capacity) {
+// beginFreeing marks the least valuable segments for freeing when the store is nearly full. A
+// segment is not freed before those that extend it.
+func (s *Store) beginFreeing(now time.Time) {
+	if float64(s.used-s.freeingBlocks) <= highWatermark*float64(s.opts.Capacity) {
 		return
 	}
-	over := s.used - s.leavingN - int(lowWater*float64(s.opts.Capacity))
+	excess := s.used - s.freeingBlocks - int(lowWatermark*float64(s.opts.Capacity))
 	type candidate struct {
 		name  [16]byte
 		seg   *segment
@@ -262,48 +272,49 @@
 		return string(list[i].name[:]) < string(list[j].name[:])
 	})
 	for _, c := range list {
-		if over <= 0 {
+		if excess <= 0 {
 			return
 		}
-		over -= c.seg.blocks
-		c.seg.state, c.seg.at = SegmentFreeing, now
-		s.leaving[c.name] = struct{}{}
-		s.leavingN += c.seg.blocks
-		s.change(true, c.name, c.seg)
+		excess -= c.seg.blocks
+		c.seg.state, c.seg.stateSince = SegmentFreeing, now
+		s.freeing[c.name] = struct{}{}
+		s.freeingBlocks += c.seg.blocks
+		s.recordChange(true, c.name, c.seg)
 	}
 }
 
-// value is the chance that a segment is still asked for.
+// value is the estimated probability that a segment is used again. It decays with the time since
+// the last use.
 func (g *segment) value(now time.Time) float64 {
-	age := now.Sub(g.used).Seconds() / halfLife.Seconds()
+	age := now.Sub(g.lastUsed).Seconds() / valueHalfLife.Seconds()
 	return g.chance / (1 + age)
 }
 
-// freeable returns the segments that nobody can refer to any more.
-func (s *Store) freeable(now time.Time) []Ref {
+// freeOrders returns the segments to free now: those to which no request can refer any more, and
+// those whose order to free must be repeated.
+func (s *Store) freeOrders(now time.Time) []Ref {
 	var refs []Ref
-	for name := range s.leaving {
+	for name := range s.freeing {
 		seg := s.segments[name]
 		switch {
-		case seg.state == SegmentFreeing && now.Sub(seg.at) >= KeptLease+s.opts.LongestRead:
+		case seg.state == SegmentFreeing && now.Sub(seg.stateSince) >= KeptLease+s.opts.MaxReadTime:
 			seg.state = SegmentFreed
-		case seg.state == SegmentFreed && now.Sub(seg.ordered) >= freeAgain:
+		case seg.state == SegmentFreed && now.Sub(seg.freeOrderedAt) >= freeRetryInterval:
 		default:
 			continue
 		}
-		seg.ordered = now
+		seg.freeOrderedAt = now
 		refs = append(refs, Ref{Wire: name, Generation: seg.generation})
 	}
 	return refs
 }
 
-// Sealed takes the word of an upstream that a segment is whole. A segment that
-// this plan does not know, left by an issuer before it, is taken over; its head
-// is told by From only if it begins at the first block.
+// Sealed processes an upstream's report that a segment is complete. It adds a segment that is not
+// known, as after a change of the issuer.
 func (s *Store) Sealed(now time.Time, name [16]byte, generation uint64, blocks, from int, parent [16]byte) {
 	seg := s.segments[name]
 	if seg == nil {
-		seg = &segment{blocks: blocks, from: from, parent: parent, chance: s.opts.LeastChance, used: now}
+		seg = &segment{blocks: blocks, from: from, parent: parent, chance: s.opts.MinChance, lastUsed: now}
 		s.segments[name] = seg
 		s.used += blocks
 		if p := s.segments[parent]; p != nil && from > 0 {
@@ -314,28 +325,28 @@
 		return
 	}
 	delete(s.writing, name)
-	seg.state, seg.generation, seg.at = SegmentSealed, generation, now
-	s.change(false, name, seg)
+	seg.state, seg.generation, seg.stateSince = SegmentSealed, generation, now
+	s.recordChange(false, name, seg)
 }
 
-// Gone takes the word of an upstream that a segment is no longer in its store.
+// Gone processes an upstream's report that a segment is not in its store any more.
 func (s *Store) Gone(name [16]byte, generation uint64) {
 	seg := s.segments[name]
 	if seg == nil || seg.generation != generation {
 		return
 	}
 	if seg.state == SegmentSealed {
-		s.change(true, name, seg)
+		s.recordChange(true, name, seg)
 	}
-	s.drop(name, seg)
+	s.removeSegment(name, seg)
 }
 
-func (s *Store) drop(name [16]byte, seg *segment) {
+func (s *Store) removeSegment(name [16]byte, seg *segment) {
 	delete(s.segments, name)
 	delete(s.writing, name)
-	if _, ok := s.leaving[name]; ok {
-		delete(s.leaving, name)
-		s.leavingN -= seg.blocks
+	if _, ok := s.freeing[name]; ok {
+		delete(s.freeing, name)
+		s.freeingBlocks -= seg.blocks
 	}
 	s.used -= seg.blocks
 	if p := s.segments[seg.parent]; p != nil && seg.from > 0 {
@@ -343,10 +354,10 @@
 	}
 }
 
-// maxChanges bounds the changes that are remembered for hosts that ask.
+// maxChanges bounds the change history.
 const maxChanges = 8192
 
-func (s *Store) change(removed bool, name [16]byte, seg *segment) {
+func (s *Store) recordChange(removed bool, name [16]byte, seg *segment) {
 	s.version++
 	s.changes = append(s.changes, Change{
 		Version: s.version,
@@ -358,8 +369,8 @@
 	}
 }
 
-// Since returns the changes after a version; full tells that they are all
-// segments instead, because the changes are not remembered so far back.
+// Since returns the changes after a version. If the change history does not reach back that far,
+// it returns all sealed segments instead and full is true.
 func (s *Store) Since(version uint64) (changes []Change, full bool) {
 	if version > s.version || version < s.version && (len(s.changes) == 0 || s.changes[0].Version > version+1) {
 		for name, seg := range s.segments {
