--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -16,7 +16,7 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// example returns the documents under examples.
+// examples returns the documents in the examples directory.
 func examples(t testing.TB) map[string][]byte {
 	t.Helper()
 	files, err := filepath.Glob("../examples/*/configuration.jsonc")
@@ -31,7 +31,8 @@
 	return out
 }
 
-func valid(t testing.TB) *Document {
+// validDocument returns one of the examples.
+func validDocument(t testing.TB) *Document {
 	t.Helper()
 	for _, text := range examples(t) {
 		d, faults := Parse(text)
@@ -41,7 +42,7 @@
 	return nil
 }
 
-func TestEveryFaultWithItsLine(t *testing.T) {
+func TestFaultLines(t *testing.T) {
 	text := "{\n\"Classes\": [{\"Name\": \"a\", \"Weight\": 0, \"Deadline\": \"1s\"}],\n\"Workspaces\": [{\"Name\": \"w\",\n \"Classes\": [\"b\"], \"Weight\": 1, \"RequestsPerSecond\": 1, \"Burst\": 1, \"Concurrency\": 1}],\n\"Routing\": {\"Time\": 1}, \"Retry\": {\"Attempts\": 99}\n}"
 	_, faults := Parse([]byte(text))
 	var got []string
@@ -59,10 +60,10 @@
 	}
 }
 
-// TestDeltaIsSmall changes one workspace of 4,700: the record stays small and
-// gives the same document.
-func TestDeltaIsSmall(t *testing.T) {
-	d := *valid(t)
+// TestDeltaSize guards against entries that grow with the document: a change of one workspace
+// of 4,700 must have a small patch.
+func TestDeltaSize(t *testing.T) {
+	d := *validDocument(t)
 	base := d.Workspaces[0]
 	d.Workspaces = nil
 	for i := range 4700 {
@@ -82,10 +83,10 @@
 	assert.Equal(t, len(Differences(&d, &next)), 1)
 }
 
-// TestRace applies two deltas on the same base.
-func TestRace(t *testing.T) {
+// TestConflictingDeltas checks that only the first of two deltas on the same base is accepted.
+func TestConflictingDeltas(t *testing.T) {
 	s := &State{}
-	d := valid(t)
+	d := validDocument(t)
 	apply := func(id string, base uint64, from, to *Document) Result {
 		delta, err := NewDelta(id, "a", base, from, to)
 		assert.NilError(t, err)
@@ -107,8 +108,7 @@
 	assert.DeepEqual(t, restored.EncodeState(), image)
 }
 
-// FuzzParse looks for documents that break the parser, or that are valid and do
-// not survive their canonical form.
+// FuzzParse checks that Parse does not crash and that valid documents survive encoding.
 func FuzzParse(f *testing.F) {
 	for _, text := range examples(f) {
 		f.Add(text)
@@ -126,12 +126,12 @@
 	})
 }
 
-// FuzzPatch feeds anything that an operator or the log could hold as a change.
+// FuzzPatch checks that arbitrary patches do not result in invalid documents.
 func FuzzPatch(f *testing.F) {
 	f.Add([]byte(`{"Retry":{"Attempts":2}}`))
 	f.Add([]byte(`{"Workspaces":null}`))
 	f.Add([]byte(`[]`))
-	d := valid(f)
+	d := validDocument(f)
 	f.Fuzz(func(t *testing.T, patch []byte) {
 		if got, err := ApplyPatch(d, patch); err == nil {
 			assert.Equal(t, len(got.Validate()), 0)
@@ -139,9 +139,9 @@
 	})
 }
 
-// BenchmarkApply4700 measures one change at the size to design for.
+// BenchmarkApply4700 measures one change of a document with 4,700 workspaces.
 func BenchmarkApply4700(b *testing.B) {
-	d := *valid(b)
+	d := *validDocument(b)
 	base := d.Workspaces[0]
 	for i := range 4700 {
 		w := base
--- a/configurer/delta.go
+++ b/configurer/delta.go
@@ -12,17 +12,17 @@
 	"github.com/pkg/errors"
 )
 
-// Delta is a change of the document, published on the platform's log.
+// Delta is a change of the document, as published on the platform's log.
 type Delta struct {
-	ID     string // ID names the change, so that its author can ask what became of it.
+	ID     string // ID identifies the change, to look up its result and to ignore duplicates.
 	Author string
-	Base   uint64 // Base is the revision that the author saw.
+	Base   uint64 // Base is the revision to which the patch applies.
 	Patch  []byte // Patch is an RFC 7386 merge patch on the keyed form.
-	Digest string // Digest is of the resulting document.
+	Digest string // Digest is the digest of the resulting document.
 }
 
-// keyedDocument is a document whose lists are objects keyed by name, so that a
-// change of one element makes a small patch.
+// keyedDocument is the keyed form of a document: its lists are objects keyed by name, so that a
+// change of one element results in a small patch.
 type keyedDocument struct {
 	Classes    map[string]Class
 	Workspaces map[string]Workspace
@@ -57,6 +57,7 @@
 	return list
 }
 
+// keyed returns the keyed form of d in JSON.
 func (d *Document) keyed() []byte {
 	k := keyedDocument{
 		Classes:    keyBy(d.Classes, func(c *Class) string { return c.Name }),
@@ -96,8 +97,8 @@
 	}, nil
 }
 
-// NewDelta returns the change from a base document to another. An empty base
-// is revision 0 with a nil document.
+// NewDelta returns the change from a base document to another. The base document of revision 0
+// is nil.
 func NewDelta(id, author string, base uint64, from, to *Document) (Delta, error) {
 	patch, err := jsonpatch.CreateMergePatch(keyedOrEmpty(from), to.keyed())
 	if err != nil {
@@ -113,7 +114,7 @@
 	return d.keyed()
 }
 
-// ApplyTo returns the document that the change makes of its base.
+// ApplyTo returns the result of the change for its base document.
 func (c Delta) ApplyTo(from *Document) (*Document, error) {
 	to, err := ApplyPatch(from, c.Patch)
 	if err != nil {
@@ -125,8 +126,7 @@
 	return to, nil
 }
 
-// ApplyPatch returns the valid document that a merge patch on the keyed form
-// makes of another.
+// ApplyPatch applies a merge patch on the keyed form to a document and validates the result.
 func ApplyPatch(from *Document, patch []byte) (*Document, error) {
 	b, err := jsonpatch.MergePatch(keyedOrEmpty(from), patch)
 	if err != nil {
--- a/configurer/difference.go
+++ b/configurer/difference.go
@@ -9,15 +9,15 @@
 	"sort"
 )
 
-// Difference is one value that differs between two documents.
+// Difference is a value that differs between two documents.
 type Difference struct {
 	Path string // Path is an RFC 6901 pointer into the keyed form.
-	From string // From is JSON; empty where there was nothing.
-	To   string // To is JSON; empty where nothing is left.
+	From string // From is the old value in JSON; empty if there was none.
+	To   string // To is the new value in JSON; empty if there is none.
 }
 
-// Differences returns what differs between two documents, by path. A nil
-// document is empty.
+// Differences returns the differences between two documents, sorted by path. A nil document is
+// empty.
 func Differences(from, to *Document) []Difference {
 	var a, b any
 	decodeKeyed(from, &a)
@@ -39,7 +39,7 @@
 	bm, bok := b.(map[string]any)
 	if !aok || !bok {
 		if !reflect.DeepEqual(a, b) {
-			*out = append(*out, Difference{Path: path, From: text(a), To: text(b)})
+			*out = append(*out, Difference{Path: path, From: encodeValue(a), To: encodeValue(b)})
 		}
 		return
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func text(v any) string {
+func encodeValue(v any) string {
 	if v == nil {
 		return ""
 	}
--- a/configurer/document.go
+++ b/configurer/document.go
@@ -11,17 +11,17 @@
 	"amaranthgate.example/amaranthgate/internal/duration"
 )
 
-// UpstreamKind tells what an upstream does.
+// UpstreamKind is the kind of an upstream.
 type UpstreamKind string
 
-// The kinds of upstream.
+// Kinds of upstreams.
 const (
 	KindEngine  UpstreamKind = "Engine"  // KindEngine generates text from prompts.
 	KindService UpstreamKind = "Service" // KindService answers plain HTTP calls.
 )
 
-// Document is the whole configuration of one deployment. It is immutable once
-// published; the With methods return changed copies.
+// Document is the configuration of a deployment. It must not be changed once published; the With
+// methods return changed copies.
 type Document struct {
 	Classes    []Class
 	Workspaces []Workspace
@@ -38,38 +38,38 @@
 type Class struct {
 	Name     string
 	Rank     int               // Rank orders classes; 0 is the most urgent.
-	Weight   float64           // Weight is the share in fair queueing.
-	Reserved float64           // Reserved is the share of each upstream's slots that only this rank or a more urgent one may take.
-	Deadline duration.Duration // Deadline is the time a caller of this class waits by default.
-	Routing  *RoutingWeights   `json:",omitempty"` // Routing replaces the document's weights.
+	Weight   float64           // Weight is the weight in fair queueing among classes.
+	Reserved float64           // Reserved is the share of upstreams reserved for this and more urgent ranks.
+	Deadline duration.Duration // Deadline is the default timeout of requests.
+	Routing  *RoutingWeights   `json:",omitempty"` // Routing overrides the document's weights.
 }
 
-// Workspace is one customer.
+// Workspace is a tenant.
 type Workspace struct {
 	Name              string
-	TokenDigests      []string // TokenDigests are SHA-256 digests of bearer tokens, in hexadecimal.
-	Classes           []string // Classes lists the classes it may use; the first is the default.
-	Weight            float64  // Weight is the share in fair queueing among workspaces of a class.
-	RequestsPerSecond float64  // RequestsPerSecond is the limit over all hosts.
-	Burst             float64  // Burst is the number of requests above the rate that may come at once.
+	TokenDigests      []string // TokenDigests holds SHA-256 digests of bearer tokens, in hexadecimal.
+	Classes           []string // Classes lists the permitted classes; the first is the default.
+	Weight            float64  // Weight is the weight in fair queueing among workspaces of a class.
+	RequestsPerSecond float64  // RequestsPerSecond is the rate limit over all hosts.
+	Burst             float64  // Burst is the number of requests that may exceed the rate at once.
 	Concurrency       int      // Concurrency is the limit of open requests over all hosts.
 }
 
-// Model is a model and the weight version that new requests use.
+// Model is a model with its weight versions.
 type Model struct {
 	Name     string
-	Version  string   // Version is used by new requests.
-	Next     string   `json:",omitempty"` // Next is loaded beside Version; when all upstreams have it, it takes its place.
+	Version  string   // Version is the weight version for new requests.
+	Next     string   `json:",omitempty"` // Next replaces Version once all upstreams have loaded it.
 	Adapters []string `json:",omitempty"`
 }
 
-// Service is a plain service behind the system.
+// Service is an HTTP service without prompts.
 type Service struct {
 	Name       string
-	Repeatable bool // Repeatable tells whether calls may be repeated when the caller does not say.
+	Repeatable bool // Repeatable reports whether calls may be repeated by default.
 }
 
-// Upstream is one back end.
+// Upstream is a server to which requests are forwarded.
 type Upstream struct {
 	Name             string
 	Kind             UpstreamKind
@@ -77,45 +77,44 @@
 	Address          string // Address is IP:port.
 	AvailabilityZone string
 	Models           []string `json:",omitempty"`
-	WeightStore      string   `json:",omitempty"` // WeightStore names the store it loads weights from.
-	Slots            int      // Slots is the number of requests it runs at once.
-	ChecksFencing    bool     // ChecksFencing tells whether it refuses orders with an old fencing number.
+	WeightStore      string   `json:",omitempty"` // WeightStore names the store that holds the weights.
+	Slots            int      // Slots is the maximum number of concurrent requests.
+	ChecksFencing    bool     // ChecksFencing reports whether orders with an old fencing number are rejected.
 	PrefillRate      float64  `json:",omitempty"` // PrefillRate is in tokens per second.
-	LinkRate         float64  `json:",omitempty"` // LinkRate is of the link to the memory and disk tiers, in bytes per second.
-	BytesPerToken    float64  `json:",omitempty"` // BytesPerToken is the size of kept context.
-	StoreBlocks      int      `json:",omitempty"` // StoreBlocks is the size of its store of kept context, in blocks of 64 tokens; 0 keeps nothing.
-	Role             string   `json:",omitempty"` // Role is what an engine is ordered to do, such as Prefill; empty for any.
+	LinkRate         float64  `json:",omitempty"` // LinkRate is in bytes per second, to the memory and disk tiers.
+	BytesPerToken    float64  `json:",omitempty"` // BytesPerToken is the size of the KV cache per token.
+	StoreBlocks      int      `json:",omitempty"` // StoreBlocks is the store's capacity in blocks of 64 tokens.
+	Role             string   `json:",omitempty"` // Role is an engine's role, such as Prefill; empty for any.
 }
 
-// RoutingWeights weigh the parts of the estimate by which routes are compared.
-// Each weight multiplies seconds.
+// RoutingWeights holds the weights of the cost terms by which routes are compared, each per
+// second.
 type RoutingWeights struct {
-	Time      float64 // Time weighs the estimated time to first token.
-	Recompute float64 // Recompute weighs time spent computing what was computed before.
-	Link      float64 // Link weighs time during which a tier link is in use.
-	FarZone   duration.Duration
+	Time      float64           // Time is the weight of the estimated time to first token.
+	Recompute float64           // Recompute is the weight of the time to recompute known blocks.
+	Link      float64           // Link is the weight of the time during which a tier link is in use.
+	FarZone   duration.Duration // FarZone is added to the time of upstreams in other availability zones.
 }
 
-// RetryPolicy bounds retries.
+// RetryPolicy limits retries.
 type RetryPolicy struct {
 	BudgetShare float64 // BudgetShare is the share of requests that may be retries.
-	Attempts    int     // Attempts is the largest number of attempts for one request.
+	Attempts    int     // Attempts is the maximum number of attempts per request.
 }
 
-// ClaimPolicy bounds the records of requests that may run only once.
+// ClaimPolicy limits the records of requests that may run only once.
 type ClaimPolicy struct {
-	Window    duration.Duration // Window is the time for which a key is remembered.
-	Timeout   duration.Duration // Timeout is the time after which a claim without outcome counts as unknown.
-	KeptBytes int               // KeptBytes is the largest answer that is kept for repeated keys.
+	Window    duration.Duration // Window is the time for which a key is retained.
+	Timeout   duration.Duration // Timeout is the time after which a claim without outcome becomes unknown.
+	KeptBytes int               // KeptBytes is the maximum size of an answer that is stored for repeated keys.
 }
 
-// LoadPolicy bounds the loading of weights.
+// LoadPolicy limits the loading of weights.
 type LoadPolicy struct {
-	AtOnce int // AtOnce is the number of servers that may load from one weight store at once.
+	AtOnce int // AtOnce is the maximum number of upstreams that load from one weight store at once.
 }
 
-// Encode returns the document as indented JSON with the field order of the
-// types.
+// Encode returns the document as indented JSON.
 func (d *Document) Encode() []byte {
 	b, err := json.MarshalIndent(d, "", "  ")
 	if err != nil {
@@ -124,28 +123,27 @@
 	return b
 }
 
-// Digest returns the SHA-256 digest of the document, in hexadecimal. The order
-// of its lists does not matter.
+// Digest returns the SHA-256 digest of the document in hexadecimal. It does not depend on the order
+// of the document's lists.
 func (d *Document) Digest() string {
 	sum := sha256.Sum256(d.keyed())
 	return hex.EncodeToString(sum[:])
 }
 
-// TokenDigest returns the form under which a bearer token is kept.
+// TokenDigest returns the SHA-256 digest of a bearer token in hexadecimal.
 func TokenDigest(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// WithUpstreams returns a copy of d with other upstreams.
+// WithUpstreams returns a copy of d with its upstreams replaced.
 func (d *Document) WithUpstreams(ups []Upstream) *Document {
 	c := *d
 	c.Upstreams = ups
 	return &c
 }
 
-// WithModelVersion returns a copy of d in which new requests for a model use
-// another weight version.
+// WithModelVersion returns a copy of d with a model's weight version replaced.
 func (d *Document) WithModelVersion(name, version string) *Document {
 	c := *d
 	c.Models = append([]Model(nil), d.Models...)
@@ -157,7 +155,7 @@
 	return &c
 }
 
-// Class returns the class of a name.
+// Class returns the class with a name and reports whether it exists.
 func (d *Document) Class(name string) (Class, bool) {
 	for _, c := range d.Classes {
 		if c.Name == name {
@@ -167,7 +165,7 @@
 	return Class{}, false
 }
 
-// Model returns the model of a name.
+// Model returns the model with a name and reports whether it exists.
 func (d *Document) Model(name string) (Model, bool) {
 	for _, m := range d.Models {
 		if m.Name == name {
@@ -177,7 +175,7 @@
 	return Model{}, false
 }
 
-// Service returns the service of a name.
+// Service returns the service with a name and reports whether it exists.
 func (d *Document) Service(name string) (Service, bool) {
 	for _, s := range d.Services {
 		if s.Name == name {
@@ -187,7 +185,7 @@
 	return Service{}, false
 }
 
-// WithPromoted returns a copy of d in which a model's next version is in force.
+// WithPromoted returns a copy of d in which a model's Next has replaced its Version.
 func (d *Document) WithPromoted(name string) *Document {
 	c := *d
 	c.Models = append([]Model(nil), d.Models...)
@@ -199,8 +197,7 @@
 	return &c
 }
 
-// ReservedAbove returns the share of upstreams that is reserved for classes
-// more urgent than a rank.
+// ReservedAbove returns the share of upstreams reserved for classes more urgent than a rank.
 func ReservedAbove(classes []Class, rank int) float64 {
 	var share float64
 	for _, c := range classes {
--- a/configurer/fold.go
+++ b/configurer/fold.go
@@ -9,39 +9,38 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// StreamName is the name of the configuration's stream in the log.
+// StreamName is the name of the stream of configuration changes in the log.
 const StreamName = "Configuration"
 
-// KindDelta is the kind of the entries that change the configuration.
+// KindDelta is the kind of entries that hold a Delta.
 const KindDelta folder.Kind = "Delta"
 
-// Fate tells what became of a published change.
+// Fate is the status of a published change after it was read from the log.
 type Fate string
 
-// The fates.
+// Fates of a change.
 const (
 	FateAccepted Fate = "Accepted"
-	FateConflict Fate = "Conflict" // FateConflict says that the base was no longer in force.
-	FateInvalid  Fate = "Invalid"  // FateInvalid says that the result is not a valid document.
+	FateConflict Fate = "Conflict" // FateConflict means that the base was no longer in force.
+	FateInvalid  Fate = "Invalid"  // FateInvalid means that the resulting document is invalid.
 )
 
-// Result is what became of one change.
+// Result is the result of a published change.
 type Result struct {
 	ID       string
 	Author   string
 	Base     uint64
 	Fate     Fate
-	Revision uint64 // Revision is in force after the change was read.
+	Revision uint64 // Revision is the revision in force after the change was read.
 	At       time.Time
 	Detail   string
 }
 
-// maxResults is the number of results that are remembered.
+// maxResults bounds the number of retained results.
 const maxResults = 256
 
-// State is the fold of the configuration's stream: the document in force and
-// what became of the latest changes. It implements folder.State. The zero
-// value is revision 0 without a document.
+// State holds the document in force and the results of the latest changes, computed from the
+// stream of changes. It implements folder.State. The zero value is revision 0 without a document.
 type State struct {
 	revision uint64
 	document *Document
@@ -54,16 +53,16 @@
 	Results  []Result
 }
 
-// Revision returns the number of the revision in force.
+// Revision returns the revision in force.
 func (s *State) Revision() uint64 { return s.revision }
 
 // Document returns the document in force, or nil. It must not be changed.
 func (s *State) Document() *Document { return s.document }
 
-// Results returns what became of the latest changes, oldest first.
+// Results returns the results of the latest changes, oldest first.
 func (s *State) Results() []Result { return s.results }
 
-// Result returns what became of a change.
+// Result returns the result of a change and reports whether it is known.
 func (s *State) Result(id string) (Result, bool) {
 	for i := len(s.results) - 1; i >= 0; i-- {
 		if s.results[i].ID == id {
@@ -73,13 +72,13 @@
 	return Result{}, false
 }
 
-// Apply implements folder.State.
+// Apply implements folder.State. It ignores duplicates of the latest changes.
 func (s *State) Apply(at folder.Position, _ string, e folder.Entry) {
 	var d Delta
 	if e.Kind != KindDelta || !e.Decode(&d) {
 		return
 	}
-	if _, again := s.Result(d.ID); again {
+	if _, duplicate := s.Result(d.ID); duplicate {
 		return
 	}
 	r := Result{ID: d.ID, Author: d.Author, Base: d.Base, Revision: s.revision, At: at.Time}
--- a/configurer/validate.go
+++ b/configurer/validate.go
@@ -14,18 +14,19 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:-]{0,63}$`)
 
-// Parse reads a document written in JSON with comments and returns every
-// fault in it. The document is usable only when there are no faults.
+// Parse parses a document in JSON with comments and returns all its faults. The document must be
+// used only if there are none.
 func Parse(text []byte) (*Document, []strictjson.Fault) {
 	d := &Document{}
 	src, faults := strictjson.Decode(text, d)
 	if len(faults) > 0 {
 		return d, faults
 	}
-	return d, located(src, d.Validate())
+	return d, setLines(src, d.Validate())
 }
 
-func located(src *strictjson.Source, faults []strictjson.Fault) []strictjson.Fault {
+// setLines sets the line numbers of faults from their pointers.
+func setLines(src *strictjson.Source, faults []strictjson.Fault) []strictjson.Fault {
 	for i := range faults {
 		faults[i].Line = src.Line(faults[i].Pointer)
 	}
@@ -43,8 +44,7 @@
 	v.faults = append(v.faults, strictjson.Fault{Pointer: pointer, Message: fmt.Sprintf(format, args...)})
 }
 
-// names checks that names are well formed and unique and returns them as a
-// set.
+// names checks that names are well-formed and unique and returns them as a set.
 func (v *validator) names(list string, n int, name func(i int) string) map[string]bool {
 	set := make(map[string]bool, n)
 	for i := range n {
@@ -56,8 +56,7 @@
 	return set
 }
 
-// Validate returns everything that is wrong with the values of d; the faults
-// carry pointers but no lines.
+// Validate returns all faults in the values of d. The faults have pointers but no line numbers.
 func (d *Document) Validate() []strictjson.Fault {
 	v := &validator{}
 	classes := v.names("Classes", len(d.Classes), func(i int) string { return d.Classes[i].Name })
@@ -112,9 +111,9 @@
 		}
 		for j, t := range w.TokenDigests {
 			raw, err := hex.DecodeString(t)
-			at := fmt.Sprintf("%s/TokenDigests/%d", p, j)
-			v.check(err == nil && len(raw) == 32, at, "want a SHA-256 digest in hexadecimal")
-			v.check(!digests[t], at, "the digest stands twice")
+			pointer := fmt.Sprintf("%s/TokenDigests/%d", p, j)
+			v.check(err == nil && len(raw) == 32, pointer, "want a SHA-256 digest in hexadecimal")
+			v.check(!digests[t], pointer, "the digest stands twice")
 			digests[t] = true
 		}
 		v.check(w.Weight > 0, p+"/Weight", "want more than 0")
