--- a/publisher/registry.go
+++ b/publisher/registry.go
@@ -10,42 +10,41 @@
 	"amaranthgate.example/amaranthgate/router"
 )
 
-// Instruments are what this host has measured of one upstream. They outlive
-// snapshots.
+// Instruments holds this host's measurements of one upstream. They outlive snapshots.
 type Instruments struct {
 	Meter   router.Meter
 	Breaker retrier.Breaker
 }
 
-// Registry holds the instruments of all upstreams by name. It is safe for
-// concurrent use. The zero value is ready.
+// Registry holds the instruments of all upstreams by name. It is safe for concurrent use. The zero
+// value is empty.
 type Registry struct {
-	mu    sync.Mutex
-	items map[string]*Instruments
+	mu          sync.Mutex
+	instruments map[string]*Instruments
 }
 
-// Get returns the instruments of an upstream, new ones if it has none.
+// Get returns the instruments of an upstream. It creates them if there are none.
 func (r *Registry) Get(name string) *Instruments {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.items == nil {
-		r.items = make(map[string]*Instruments)
+	if r.instruments == nil {
+		r.instruments = make(map[string]*Instruments)
 	}
-	in := r.items[name]
+	in := r.instruments[name]
 	if in == nil {
 		in = &Instruments{}
-		r.items[name] = in
+		r.instruments[name] = in
 	}
 	return in
 }
 
-// Retain forgets the upstreams for which keep is false.
+// Retain removes the upstreams for which keep returns false.
 func (r *Registry) Retain(keep func(name string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for n := range r.items {
+	for n := range r.instruments {
 		if !keep(n) {
-			delete(r.items, n)
+			delete(r.instruments, n)
 		}
 	}
 }
--- a/publisher/snapshot.go
+++ b/publisher/snapshot.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package publisher hands what the control goroutine knows to the goroutines
-// that carry traffic: one immutable snapshot behind an atomic pointer.
+// Package publisher passes the state of the control goroutine to the goroutines that serve
+// requests, as an immutable snapshot behind an atomic pointer.
 //
 // # Usage
 //
 //	snap := p.Load()
 //	workspace, ok := snap.WorkspaceOf(token)
-//	pool := snap.Engines("model-a")
+//	pool := snap.Engines["model-a"]
 package publisher
 
 import (
@@ -18,31 +18,31 @@
 	"amaranthgate.example/amaranthgate/router"
 )
 
-// Address is where callers can reach one host, and how good a choice it is.
+// Address is the address of a host for callers.
 type Address struct {
 	Host             string
 	Address          string
 	AvailabilityZone string
-	Weight           float64 // Weight is the spare room, relative to other hosts.
+	Weight           float64 // Weight is the spare capacity, relative to other hosts.
 }
 
-// Upstream joins an upstream's configuration with its place in a pool.
+// Upstream is an upstream of a pool.
 type Upstream struct {
 	*configurer.Upstream
 	Instruments *Instruments
-	Versions    []string // Versions are the weight versions of the pool's model that are loaded.
+	Versions    []string // Versions holds the loaded weight versions of the pool's model.
 }
 
-// Pool is the upstreams among which a request may choose.
+// Pool is a set of upstreams that can serve a request.
 type Pool struct {
 	Targets   []router.Target
 	Upstreams []Upstream // Upstreams has the same order as Targets.
 
-	reserved map[int][]bool // reserved marks, by rank, the targets kept for more urgent classes.
+	reserved map[int][]bool // reserved marks, by rank, the targets reserved for more urgent classes.
 }
 
-// Reserve works out which targets each class must leave to more urgent ones. It
-// is called once, before the pool is published.
+// Reserve computes the targets that are reserved for more urgent classes, for each rank. It must be
+// called once, before the pool is published.
 func (p *Pool) Reserve(classes []configurer.Class) {
 	p.reserved = make(map[int][]bool, len(classes))
 	for _, c := range classes {
@@ -52,24 +52,24 @@
 	}
 }
 
-// ReservedFrom marks the targets that a rank must leave to more urgent classes;
-// nil if there are none.
+// ReservedFrom marks the targets that a rank must leave to more urgent classes. The result is nil
+// if there are none.
 func (p *Pool) ReservedFrom(rank int) []bool { return p.reserved[rank] }
 
-// Snapshot is all that traffic needs to know. It is immutable.
+// Snapshot is the state that is needed to serve requests. It must not be changed once published.
 type Snapshot struct {
-	Ready     bool // Ready tells that a configuration is in force here.
-	Leaving   bool // Leaving tells that this host drains.
+	Ready     bool // Ready reports whether a configuration is in force on this host.
+	Leaving   bool // Leaving reports whether this host is draining.
 	Revision  uint64
 	Document  *configurer.Document
 	Addresses []Address
-	Engines   map[string]*Pool // Engines has a pool for each model.
-	Services  map[string]*Pool // Services has a pool for each plain service.
+	Engines   map[string]*Pool // Engines holds the pool of each model.
+	Services  map[string]*Pool // Services holds the pool of each service.
 
 	workspaces map[string]*configurer.Workspace // workspaces is keyed by token digest.
 }
 
-// NewSnapshot returns a snapshot of a document without pools.
+// NewSnapshot returns a snapshot for a document, without pools.
 func NewSnapshot(doc *configurer.Document, revision uint64) *Snapshot {
 	s := &Snapshot{
 		Document:   doc,
@@ -86,7 +86,7 @@
 	return s
 }
 
-// WithoutPools returns a copy of s for the same document, with empty pools.
+// WithoutPools returns a copy of s without its pools.
 func (s *Snapshot) WithoutPools() *Snapshot {
 	c := *s
 	c.Engines = make(map[string]*Pool, len(s.Engines))
@@ -94,31 +94,32 @@
 	return &c
 }
 
-// Add puts an upstream into a pool that is not published yet.
+// Add adds an upstream. It must not be called once the pool is published.
 func (p *Pool) Add(t router.Target, u Upstream) {
 	p.Targets = append(p.Targets, t)
 	p.Upstreams = append(p.Upstreams, u)
 }
 
-// WorkspaceOf returns the workspace that a bearer token proves.
+// WorkspaceOf returns the workspace that a bearer token authenticates.
 func (s *Snapshot) WorkspaceOf(token string) (*configurer.Workspace, bool) {
 	w, ok := s.workspaces[configurer.TokenDigest(token)]
 	return w, ok
 }
 
-// Publisher holds the newest snapshot. The zero value holds an empty one.
+// Publisher holds the current snapshot. It is safe for concurrent use. The zero value holds an
+// empty snapshot.
 type Publisher struct {
 	current atomic.Pointer[Snapshot]
 }
 
-var empty = NewSnapshot(&configurer.Document{}, 0)
+var emptySnapshot = NewSnapshot(&configurer.Document{}, 0)
 
-// Load returns the newest snapshot, never nil.
+// Load returns the current snapshot. It is never nil.
 func (p *Publisher) Load() *Snapshot {
 	if s := p.current.Load(); s != nil {
 		return s
 	}
-	return empty
+	return emptySnapshot
 }
 
 // Store replaces the snapshot.
