--- a/administrator/administrator.go
+++ b/administrator/administrator.go
@@ -22,46 +22,46 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Current is the configuration in force at this host.
+// Current is the configuration in force on this host.
 type Current struct {
 	Revision uint64
 	Document *configurer.Document // Document is nil before the first revision.
-	Results  []configurer.Result
+	Results  []configurer.Result  // Results holds the results of the latest changes, oldest first.
 }
 
-// Control is the host's control plane as the administrator needs it.
+// Control is the interface to the host's control plane. It must be safe for concurrent use.
 type Control interface {
 	Current() Current
-	// Publish publishes a change and waits until it is read back; false means
-	// that what became of it is not known yet.
+	// Publish publishes a change and waits until it is read back. It reports false if the result
+	// is not known yet.
 	Publish(ctx context.Context, d configurer.Delta) (configurer.Result, bool)
 	Hosts() []tracker.HostRecord
-	// Report returns the service report, and false while it is incomplete.
+	// Report returns the service report and reports whether it is complete.
 	Report() (reporter.Report, bool)
-	// Dump returns the state of every part, without secrets.
+	// Dump returns the host's state for debugging, without secrets.
 	Dump() any
 }
 
-// Options set up an administrator.
+// Options configures an Administrator.
 type Options struct {
 	Control Control
-	Digests []string // Digests are SHA-256 digests of operators' tokens.
+	Digests []string // Digests holds the SHA-256 digests of operators' tokens.
 	Log     zerolog.Logger
-	Metrics func(w io.Writer)
+	Metrics func(w io.Writer) // Metrics writes the metrics in the Prometheus text format.
 }
 
-// Administrator answers operators.
+// Administrator serves requests of operators.
 type Administrator struct {
 	opts Options
 }
 
-// New returns an administrator.
+// New returns an Administrator.
 func New(opts Options) *Administrator { return &Administrator{opts: opts} }
 
-// publishTimeout bounds the wait for a change to be read back.
+// publishTimeout bounds the time to wait until a change is read back.
 const publishTimeout = 4 * time.Second
 
-// maxDocumentBytes bounds a document in a request.
+// maxDocumentBytes bounds the body of a request.
 const maxDocumentBytes = 16 << 20
 
 // Handler returns the HTTP handler for operators.
@@ -82,7 +82,7 @@
 
 type operatorKey struct{}
 
-// authenticate lets only operators pass.
+// authenticate rejects requests without an operator's token.
 func (a *Administrator) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		user, token, ok := r.BasicAuth()
@@ -133,13 +133,13 @@
 
 // PublishRequest is the body of POST /v1/configuration.
 type PublishRequest struct {
-	ID       string // ID names the change; empty lets the host choose.
+	ID       string // ID identifies the change; if empty, the host generates one.
 	Base     uint64 // Base is the revision on which the document is based.
 	Document json.RawMessage
 }
 
-// PublishAnswer is the answer to a publication. Known is false when the change
-// was not read back in time: ask GET /v1/changes/{id} later.
+// PublishAnswer is the answer to POST /v1/configuration and GET /v1/changes/{id}. Known is false
+// if the change was not read back in time; its result can be queried later.
 type PublishAnswer struct {
 	Known  bool
 	ID     string
@@ -169,11 +169,11 @@
 	writeJSON(w, publishStatus(ans), ans)
 }
 
-// publish publishes a document on a base revision. A base that is not in force
-// here any more is a conflict at once; nothing is appended.
+// publish publishes a document on a base revision. If the base is not in force on this host, it
+// returns a conflict without appending the change.
 func (a *Administrator) publish(ctx context.Context, author, id string, base uint64, doc *configurer.Document) PublishAnswer {
 	cur := a.opts.Control.Current()
-	if r, ok := resultOf(cur, id); ok {
+	if r, ok := findResult(cur, id); ok {
 		return PublishAnswer{Known: true, ID: id, Result: &r}
 	}
 	if base != cur.Revision {
@@ -208,7 +208,7 @@
 	return http.StatusOK
 }
 
-func resultOf(cur Current, id string) (configurer.Result, bool) {
+func findResult(cur Current, id string) (configurer.Result, bool) {
 	for _, r := range cur.Results {
 		if r.ID == id {
 			return r, true
@@ -218,7 +218,7 @@
 }
 
 func (a *Administrator) getChange(w http.ResponseWriter, r *http.Request) {
-	res, ok := resultOf(a.opts.Control.Current(), r.PathValue("id"))
+	res, ok := findResult(a.opts.Control.Current(), r.PathValue("id"))
 	if !ok {
 		writeJSON(w, http.StatusNotFound, PublishAnswer{ID: r.PathValue("id")})
 		return
@@ -228,10 +228,10 @@
 
 // HostsAnswer is the body of GET /v1/hosts.
 type HostsAnswer struct {
-	Revision uint64   // Revision is the highest in force on any host.
-	InForce  int      // InForce is the number of live hosts that have it.
+	Revision uint64   // Revision is the highest revision in force on any host.
+	InForce  int      // InForce is the number of live hosts with that revision.
 	Live     int      // Live is the number of live hosts.
-	Laggards []string // Laggards are the live hosts that have it not.
+	Laggards []string // Laggards holds the live hosts without that revision.
 	Hosts    []tracker.HostRecord
 }
 
@@ -260,7 +260,7 @@
 
 // ReportAnswer is the body of GET /v1/report.
 type ReportAnswer struct {
-	Complete bool // Complete is false while this host is still reading.
+	Complete bool // Complete is false while this host is still reading the reports.
 	Report   reporter.Report
 }
 
--- a/administrator/console.go
+++ b/administrator/console.go
@@ -37,7 +37,7 @@
 	},
 }).ParseFS(templateFiles, "templates/*.html"))
 
-// addConsole adds the pages of the console.
+// addConsole registers the pages of the console.
 func (a *Administrator) addConsole(mux *http.ServeMux) {
 	mux.HandleFunc("GET /{$}", a.overview)
 	mux.HandleFunc("GET /document", a.document)
@@ -51,7 +51,7 @@
 	mux.HandleFunc("GET /report/plot.svg", a.plot)
 }
 
-// page is what every template gets.
+// page is the data of every template.
 type page struct {
 	Title    string
 	Operator string
@@ -71,7 +71,7 @@
 
 type overviewPage struct {
 	HostsAnswer
-	Results []configurer.Result // Results has the newest first.
+	Results []configurer.Result // Results holds the latest results, newest first.
 }
 
 func (a *Administrator) overview(w http.ResponseWriter, r *http.Request) {
@@ -83,7 +83,7 @@
 	a.render(w, r, http.StatusOK, "overview.html", "Overview", p)
 }
 
-// documentPage is the form for the whole document.
+// documentPage is the form to edit the whole document.
 type documentPage struct {
 	Base   uint64
 	Text   string
@@ -99,7 +99,7 @@
 	a.render(w, r, http.StatusOK, "document.html", "Document", p)
 }
 
-// change is what a form carries from page to page.
+// changeForm is a pending change, carried from page to page in hidden inputs.
 type changeForm struct {
 	ID    string
 	Base  uint64
@@ -113,11 +113,11 @@
 	Rebased     bool
 }
 
-// review shows the difference that a form would make, before it is published.
+// review shows the differences that a form makes, before they are published.
 func (a *Administrator) review(w http.ResponseWriter, r *http.Request) {
 	r.Body = http.MaxBytesReader(w, r.Body, maxDocumentBytes)
 	cur := a.opts.Control.Current()
-	doc, faults := a.edited(r, cur)
+	doc, faults := a.documentFromForm(r, cur)
 	if len(faults) > 0 {
 		a.render(w, r, http.StatusUnprocessableEntity, "faults.html", "Not valid", faults)
 		return
@@ -143,8 +143,8 @@
 	})
 }
 
-// edited returns the document that a form makes of the current one.
-func (a *Administrator) edited(r *http.Request, cur Current) (*configurer.Document, []string) {
+// documentFromForm applies a form to the current document and returns the result with its faults.
+func (a *Administrator) documentFromForm(r *http.Request, cur Current) (*configurer.Document, []string) {
 	if text := r.FormValue("Document"); text != "" {
 		doc, faults := configurer.Parse([]byte(text))
 		var out []string
@@ -170,7 +170,7 @@
 	return doc, faults
 }
 
-// readChange reads what a form carries.
+// readChange reads a pending change with its decoded patch.
 func readChange(w http.ResponseWriter, r *http.Request) (changeForm, []byte, error) {
 	r.Body = http.MaxBytesReader(w, r.Body, maxDocumentBytes)
 	base, err := strconv.ParseUint(r.FormValue("Base"), 10, 64)
@@ -189,7 +189,7 @@
 		return
 	}
 	cur := a.opts.Control.Current()
-	if res, ok := resultOf(cur, f.ID); ok {
+	if res, ok := findResult(cur, f.ID); ok {
 		a.showResult(w, r, f, cur, PublishAnswer{Known: true, ID: f.ID, Result: &res}, patch)
 		return
 	}
@@ -222,12 +222,12 @@
 type conflictPage struct {
 	changeForm
 	Current uint64
-	Since   []configurer.Result // Since are the changes that won meanwhile.
-	Mine    string              // Mine is the change of this operator.
-	Theirs  []configurer.Difference
+	Since   []configurer.Result     // Since holds the changes accepted after the base revision.
+	Mine    string                  // Mine is the operator's patch.
+	Theirs  []configurer.Difference // Theirs is what the patch would change in the current document.
 }
 
-// conflict shows both sides of a lost race.
+// conflict shows a conflicting change and the changes accepted since its base revision.
 func (a *Administrator) conflict(w http.ResponseWriter, r *http.Request, f changeForm, cur Current, patch []byte) {
 	p := conflictPage{changeForm: f, Current: cur.Revision}
 	for _, res := range cur.Results {
@@ -240,14 +240,13 @@
 		if b, err := json.MarshalIndent(indented, "", "  "); err == nil {
 			p.Mine = string(b)
 		}
-		p.Theirs = overlapping(cur.Document, patch)
+		p.Theirs = patchDifferences(cur.Document, patch)
 	}
 	a.render(w, r, http.StatusConflict, "conflict.html", "Conflict", p)
 }
 
-// overlapping returns what stands now where a patch would write, against what
-// the patch would write.
-func overlapping(cur *configurer.Document, patch []byte) []configurer.Difference {
+// patchDifferences returns what a patch would change in a document; nil if it does not apply.
+func patchDifferences(cur *configurer.Document, patch []byte) []configurer.Difference {
 	doc, err := configurer.ApplyPatch(cur, patch)
 	if err != nil {
 		return nil
@@ -255,8 +254,7 @@
 	return configurer.Differences(cur, doc)
 }
 
-// rebase puts a change that lost a race on the revision that won, for another
-// review.
+// rebase applies a conflicting change to the revision in force and shows it for review.
 func (a *Administrator) rebase(w http.ResponseWriter, r *http.Request) {
 	_, patch, err := readChange(w, r)
 	cur := a.opts.Control.Current()
@@ -271,11 +269,11 @@
 	a.showReview(w, r, cur, doc, true)
 }
 
-// change tells an operator whose answer was lost what became of a change.
+// change shows the result of a change, for an operator who did not receive the answer.
 func (a *Administrator) change(w http.ResponseWriter, r *http.Request) {
 	id := r.FormValue("ID")
 	ans := PublishAnswer{ID: id}
-	if res, ok := resultOf(a.opts.Control.Current(), id); ok {
+	if res, ok := findResult(a.opts.Control.Current(), id); ok {
 		ans.Known, ans.Result = true, &res
 	}
 	a.render(w, r, http.StatusOK, "result.html", "Change", resultPage{PublishAnswer: ans, HostsAnswer: a.hosts()})
--- a/administrator/forms.go
+++ b/administrator/forms.go
@@ -14,14 +14,14 @@
 	"amaranthgate.example/amaranthgate/configurer"
 )
 
-// kind is one list of the document that has forms.
+// kind is a list of the document whose elements can be edited in forms.
 type kind struct {
 	Name  string // Name is the name of the list in the document.
 	Title string
 	Help  string
 }
 
-// kinds are the lists of the document, in the order of the menu.
+// kinds holds the editable lists in the order of the menu.
 var kinds = []kind{
 	{Name: "Workspaces", Title: "Workspaces", Help: "Customers, their tokens, classes and limits over all hosts."},
 	{Name: "Classes", Title: "Priority classes", Help: "Rank 0 is the most urgent. Reserved is the share of slots kept free for the class and more urgent ones."},
@@ -39,13 +39,13 @@
 	return kind{}, false
 }
 
-// items returns the list of a document as a reflected slice.
+// items returns the list in a document as a reflected slice.
 func (k kind) items(d *configurer.Document) reflect.Value {
 	return reflect.ValueOf(d).Elem().FieldByName(k.Name)
 }
 
-// find returns the place of an element by name, or -1.
-func (k kind) find(d *configurer.Document, name string) int {
+// indexOf returns the index of an element by name, or -1.
+func (k kind) indexOf(d *configurer.Document, name string) int {
 	list := k.items(d)
 	for i := range list.Len() {
 		if list.Index(i).FieldByName("Name").String() == name {
@@ -59,19 +59,19 @@
 type field struct {
 	Name    string
 	Value   string
-	Lines   bool // Lines tells that the value is a list with one element a line.
-	Check   bool // Check tells that the value is true or false.
+	Lines   bool // Lines is set for a list, which has one element per line in Value.
+	Check   bool // Check is set for a checkbox.
 	Checked bool
 }
 
-// fields returns the inputs for one element.
+// fields returns the inputs for an element.
 func fields(v reflect.Value) []field {
 	var out []field
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		switch v.Field(i).Kind() {
 		case reflect.Pointer, reflect.Struct:
-			continue // edited in the whole document
+			continue // Can be edited only in the whole document.
 		case reflect.Bool:
 			out = append(out, field{Name: f.Name, Check: true, Checked: v.Field(i).Bool()})
 		case reflect.Slice:
@@ -83,8 +83,8 @@
 	return out
 }
 
-// set reads the inputs of a form into an element and returns what is wrong.
-func set(v reflect.Value, r *http.Request) []string {
+// setFields sets the fields of an element from the inputs of a form and returns the faults.
+func setFields(v reflect.Value, r *http.Request) []string {
 	var faults []string
 	for i := range v.NumField() {
 		name := v.Type().Field(i).Name
@@ -126,6 +126,7 @@
 	return nil
 }
 
+// lines returns the non-empty lines of a text without surrounding white space.
 func lines(text string) []string {
 	var out []string
 	for _, l := range strings.Split(text, "\n") {
@@ -136,28 +137,27 @@
 	return out
 }
 
-// apply returns the document after a form: an element replaced, added or
-// removed.
+// apply returns a copy of a document in which the form's element is replaced, added or removed.
 func (k kind) apply(d *configurer.Document, r *http.Request) (*configurer.Document, []string) {
 	c := *d
 	old := k.items(d)
 	list := reflect.MakeSlice(old.Type(), old.Len(), old.Len()+1)
 	reflect.Copy(list, old)
-	at := k.find(d, r.FormValue("Element"))
+	index := k.indexOf(d, r.FormValue("Element"))
 	if r.FormValue("Remove") == "true" {
-		if at < 0 {
+		if index < 0 {
 			return nil, []string{"there is no such element"}
 		}
-		list = reflect.AppendSlice(list.Slice(0, at), list.Slice(at+1, list.Len()))
+		list = reflect.AppendSlice(list.Slice(0, index), list.Slice(index+1, list.Len()))
 		k.items(&c).Set(list)
 		return &c, nil
 	}
-	if at < 0 {
-		at = list.Len()
+	if index < 0 {
+		index = list.Len()
 		list = reflect.Append(list, reflect.New(old.Type().Elem()).Elem())
 	}
-	element := list.Index(at)
-	if faults := set(element, r); len(faults) > 0 {
+	element := list.Index(index)
+	if faults := setFields(element, r); len(faults) > 0 {
 		return nil, faults
 	}
 	addToken(element, r.FormValue("NewToken"))
@@ -165,8 +165,7 @@
 	return &c, nil
 }
 
-// addToken adds the digest of a new token to a workspace, so that the token
-// itself is never kept.
+// addToken adds the digest of a new token to a workspace. The token itself is not stored.
 func addToken(element reflect.Value, token string) {
 	if token == "" {
 		return
@@ -201,10 +200,10 @@
 
 type editPage struct {
 	Kind    kind
-	Element string // Element is empty for a new one.
+	Element string // Element is the name of the element; empty for a new one.
 	Base    uint64
 	Fields  []field
-	Tokens  bool // Tokens tells that a token can be added.
+	Tokens  bool // Tokens reports whether a token can be added.
 }
 
 func (a *Administrator) edit(w http.ResponseWriter, r *http.Request) {
@@ -216,8 +215,8 @@
 	}
 	p := editPage{Kind: k, Element: r.FormValue("Name"), Base: cur.Revision, Tokens: k.Name == "Workspaces"}
 	list := k.items(cur.Document)
-	if at := k.find(cur.Document, p.Element); at >= 0 {
-		p.Fields = fields(list.Index(at))
+	if index := k.indexOf(cur.Document, p.Element); index >= 0 {
+		p.Fields = fields(list.Index(index))
 	} else {
 		p.Element = ""
 		p.Fields = fields(reflect.New(list.Type().Elem()).Elem())
--- a/administrator/palette.go
+++ b/administrator/palette.go
@@ -5,7 +5,7 @@
 
 import "image/color"
 
-// palette are the colors of a plot's lines.
+// palette holds the colors of the lines in a plot.
 var palette = []color.Color{
 	color.RGBA{R: 0x1f, G: 0x4e, B: 0x79, A: 0xff},
 	color.RGBA{R: 0xb0, G: 0x3a, B: 0x2e, A: 0xff},
--- a/administrator/report.go
+++ b/administrator/report.go
@@ -33,14 +33,14 @@
 	_, _ = w.Write(svg)
 }
 
-// Size of a plot.
+// Size of the plot.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 4 * vg.Inch
 )
 
-// drawReport draws, for each group, the share of answers whose first token came
-// within each bound.
+// drawReport draws the cumulative distribution of the time to first token for each workspace and
+// class.
 func drawReport(rep reporter.Report) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = "Time to first token"
@@ -71,6 +71,7 @@
 	return buf.Bytes(), err
 }
 
+// cumulative returns the cumulative distribution of the time to first token.
 func cumulative(c *reporter.Counts) plotter.XYs {
 	var total, sum uint64
 	for _, v := range c.FirstToken {
