--- a/connector/doc.go
+++ b/connector/doc.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package connector holds the clients of the platform: its append-only log and
-// its host list, both over HTTP with JSON.
+// Package connector provides HTTP clients of the platform's append-only log and
+// of its host list. Both exchange JSON.
 //
 // # Usage
 //
@@ -10,5 +10,5 @@
 //	offset, err := log.Append(ctx, "Leases", body)
 //	page, err := log.Read(ctx, "Leases", offset, 512, time.Second)
 //
-// An error from Append says nothing about whether the append took effect.
+// After an error from Append the record may or may not be in the log.
 package connector
--- a/connector/hostlist.go
+++ b/connector/hostlist.go
@@ -14,22 +14,22 @@
 // ListedState is the state of an entry in the host list.
 type ListedState string
 
-// The states of the host list.
+// States of entries in the host list.
 const (
 	ListedLive    ListedState = "Live"
 	ListedLeaving ListedState = "Leaving"
 )
 
-// ListedHost is one entry of the host list: one of the system's hosts, or the
-// host of an upstream.
+// ListedHost is an entry of the host list: a host of this system or the host of
+// an upstream.
 type ListedHost struct {
 	Host             string
-	Address          string // Address is IP:port, where peers or callers of the host connect.
+	Address          string // Address is the IP:port at which peers or callers connect.
 	AvailabilityZone string
 	State            ListedState
 }
 
-// HostListAnswer is the body of the host list's answer.
+// HostListAnswer is the body of a response of the host list.
 type HostListAnswer struct {
 	Hosts     []ListedHost
 	Upstreams []ListedHost
@@ -42,12 +42,12 @@
 	client  *http.Client
 }
 
-// NewHostList returns a client for the host list at a base URL.
+// NewHostList returns a client of the host list at a base URL.
 func NewHostList(base string, timeout time.Duration) *HostList {
 	return &HostList{base: base, timeout: timeout, client: newClient()}
 }
 
-// Fetch returns the present list, which lags behind the truth.
+// Fetch returns the current list, which may be stale.
 func (h *HostList) Fetch(ctx context.Context) (HostListAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
@@ -56,7 +56,7 @@
 		return HostListAnswer{}, errors.Wrap(err, "connector: host list")
 	}
 	var a HostListAnswer
-	if err := do(h.client, req, &a); err != nil {
+	if err := doJSON(h.client, req, &a); err != nil {
 		return HostListAnswer{}, errors.Wrap(err, "connector: host list")
 	}
 	return a, nil
--- a/connector/log.go
+++ b/connector/log.go
@@ -18,10 +18,10 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// maxAnswerBytes bounds one answer of the platform.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds the body of a response.
+const maxResponseBytes = 64 << 20
 
-// AppendAnswer is the body of the log's answer to an append.
+// AppendAnswer is the body of the response to an append.
 type AppendAnswer struct {
 	Offset uint64
 }
@@ -33,8 +33,8 @@
 	client  *http.Client
 }
 
-// NewLog returns a client for the log at a base URL. Each call is bounded by
-// timeout, reads by timeout beyond their wait.
+// NewLog returns a client of the log at a base URL. An append takes at most
+// timeout, a read at most timeout longer than its wait.
 func NewLog(base string, timeout time.Duration) *Log {
 	return &Log{base: base, timeout: timeout, client: newClient()}
 }
@@ -43,7 +43,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}}
 }
 
-// Append adds a record to a stream and returns its offset. After an error the
+// Append appends a record to a stream and returns its offset. After an error the
 // record may or may not be in the log.
 func (l *Log) Append(ctx context.Context, stream string, body []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
@@ -54,14 +54,14 @@
 	}
 	req.Header.Set("Content-Type", "application/octet-stream")
 	var a AppendAnswer
-	if err := do(l.client, req, &a); err != nil {
+	if err := doJSON(l.client, req, &a); err != nil {
 		return 0, errors.Wrap(err, "connector: append")
 	}
 	return a.Offset, nil
 }
 
-// Read returns up to limit records from an offset on, waiting up to wait if
-// there are none yet.
+// Read returns up to limit records from an offset on. If there are none, it waits
+// up to wait for one.
 func (l *Log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (folder.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout+wait)
 	defer cancel()
@@ -71,7 +71,7 @@
 		return folder.Page{}, errors.Wrap(err, "connector: read")
 	}
 	var p folder.Page
-	if err := do(l.client, req, &p); err != nil {
+	if err := doJSON(l.client, req, &p); err != nil {
 		return folder.Page{}, errors.Wrap(err, "connector: read")
 	}
 	return p, nil
@@ -81,14 +81,14 @@
 	return l.base + "/v1/streams/" + url.PathEscape(stream) + "/records"
 }
 
-// do sends a request and decodes the JSON answer into dst.
-func do(c *http.Client, req *http.Request, dst any) error {
+// doJSON sends a request and decodes the JSON response into dst.
+func doJSON(c *http.Client, req *http.Request, dst any) error {
 	resp, err := c.Do(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	body := io.LimitReader(resp.Body, maxAnswerBytes)
+	body := io.LimitReader(resp.Body, maxResponseBytes)
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(body, 256))
 		return errors.Errorf("status %d: %s", resp.StatusCode, text)
