--- a/router/route_test.go
+++ b/router/route_test.go
@@ -17,7 +17,7 @@
 	"amaranthgate.example/amaranthgate/internal/strictjson"
 )
 
-// routeCase is a pool and a request from a data file, and where it must go.
+// routeCase is a pool, a request and the target that it must be routed to.
 type routeCase struct {
 	Name     string
 	Targets  []caseTarget
@@ -34,9 +34,9 @@
 	Down     bool
 	Far      bool
 	Running  int
-	Backlog  int // Backlog are prompt tokens that wait, by the load report.
-	Sent     int // Sent are prompt tokens that this host sent since the report.
-	Peers    int // Peers are prompt tokens that other hosts say they have under way; the report is ignored then.
+	Backlog  int // Backlog is the number of waiting prompt tokens in the load report.
+	Sent     int // Sent is the number of prompt tokens that this host sent since the report.
+	Peers    int // Peers is the number of prompt tokens in flight from other hosts; if set, the report is ignored.
 	LinkRate float64
 }
 
@@ -84,8 +84,9 @@
 	return t
 }
 
-// TestEveryHostRanksAlike checks that the first in rank depends on names only.
-func TestEveryHostRanksAlike(t *testing.T) {
+// TestRankDependsOnNamesOnly checks that hosts with different random sources choose
+// the same target.
+func TestRankDependsOnNamesOnly(t *testing.T) {
 	pool := benchPool(20, 1)
 	for i := range pool {
 		pool[i].Load = Load{}
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestReservedIsNeverAll keeps urgent classes from taking everything.
-func TestReservedIsNeverAll(t *testing.T) {
+// TestReservedLeavesOneTarget checks that urgent classes never reserve all targets.
+func TestReservedLeavesOneTarget(t *testing.T) {
 	for n := 1; n < 6; n++ {
 		count := 0
 		for _, r := range Reserved(benchPool(n, 1), 0.99) {
@@ -122,10 +123,10 @@
 	return pool
 }
 
-// BenchmarkRoute620 measures one decision at the size to design for.
+// BenchmarkRoute620 measures a decision among 620 targets.
 func BenchmarkRoute620(b *testing.B) { benchmarkRoute(b, 620) }
 
-// BenchmarkRoute22 measures one decision at the size of today.
+// BenchmarkRoute22 measures a decision among 22 targets.
 func BenchmarkRoute22(b *testing.B) { benchmarkRoute(b, 22) }
 
 func benchmarkRoute(b *testing.B, n int) {
--- a/router/target.go
+++ b/router/target.go
@@ -10,28 +10,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is the newest report of an upstream's load.
+// Load is the last load report of an upstream.
 type Load struct {
 	Running       int
 	Waiting       int
 	WaitingTokens int
-	Base          Mark // Base is what this host had sent when the report was made.
+	Base          Mark // Base is the reading of this host's meter when the report was requested.
 }
 
-// PeerLoad is what the other hosts said they have under way at an upstream.
+// PeerLoad is what the other hosts have in flight at an upstream.
 type PeerLoad struct {
-	Fresh    bool // Fresh tells that all live hosts said so a moment ago.
+	Fresh    bool // Fresh reports whether the counts of all live hosts are recent.
 	Requests int
-	Tokens   int // Tokens are prompt tokens not yet computed.
+	Tokens   int // Tokens is the number of prompt tokens not yet prefilled.
 }
 
-// Target is an upstream as routing sees it.
+// Target is an upstream as a candidate for routing.
 type Target struct {
 	Name          string
-	Hash          uint64  // Hash is the hash of Name for rendezvous.
-	Usable        bool    // Usable is false for upstreams that leave, are down or lack the version.
-	Near          bool    // Near tells that it is in this host's availability zone.
-	Slots         float64 // Slots is the number of requests it runs at once.
+	Hash          uint64  // Hash is NameHash of Name.
+	Usable        bool    // Usable is false for upstreams that are leaving, down or without the version.
+	Near          bool    // Near reports whether it is in this host's availability zone.
+	Slots         float64 // Slots is the number of requests that it runs concurrently.
 	PrefillRate   float64 // PrefillRate is in tokens per second; 0 for plain services.
 	LinkRate      float64 // LinkRate is in bytes per second.
 	BytesPerToken float64
@@ -40,15 +40,15 @@
 	Meter         *Meter
 }
 
-// NameHash returns the value for Target.Hash.
+// NameHash returns the hash of a name for rendezvous hashing.
 func NameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// requests returns the estimated number of requests at t now: what all hosts
-// say they have under way, or, where they are silent, the last report of load
-// corrected by what this host has sent since.
-func (t *Target) requests() float64 { return t.requestsAt(t.Meter.Mark()) }
+// estimatedRequests returns the estimated number of requests at t: the counts of
+// all hosts if they are fresh, else the last load report corrected by what this
+// host has sent since.
+func (t *Target) estimatedRequests() float64 { return t.estimatedRequestsAt(t.Meter.Mark()) }
 
-func (t *Target) requestsAt(now Mark) float64 {
+func (t *Target) estimatedRequestsAt(now Mark) float64 {
 	own := int(now.Started - now.Finished)
 	if t.Peers.Fresh {
 		return float64(own + t.Peers.Requests)
@@ -58,9 +58,9 @@
 	return float64(max(n, own, 0))
 }
 
-// backlogAt returns the estimated number of prompt tokens that t has yet to
-// compute.
-func (t *Target) backlogAt(now Mark) float64 {
+// estimatedBacklogAt returns the estimated number of prompt tokens that t has yet
+// to prefill.
+func (t *Target) estimatedBacklogAt(now Mark) float64 {
 	if t.Peers.Fresh {
 		return float64(int(now.Tokens-now.Prefilled) + t.Peers.Tokens)
 	}
@@ -69,22 +69,21 @@
 	return float64(max(n, 0))
 }
 
-// queue returns the estimated time until t starts on a new request, in
-// seconds.
-func (t *Target) queue() float64 {
+// queueSeconds returns the estimated time in seconds until t starts a new request.
+func (t *Target) queueSeconds() float64 {
 	now := t.Meter.Mark()
 	var s float64
 	if t.PrefillRate > 0 {
-		s = t.backlogAt(now) / t.PrefillRate
+		s = t.estimatedBacklogAt(now) / t.PrefillRate
 	}
-	if over := t.requestsAt(now) + 1 - t.Slots; over > 0 {
-		s += over / t.Slots * t.Meter.Hold()
+	if over := t.estimatedRequestsAt(now) + 1 - t.Slots; over > 0 {
+		s += over / t.Slots * t.Meter.MeanSeconds()
 	}
 	return s
 }
 
-// linkSeconds returns the time to move tokens over the tier link now, behind
-// what this host has ordered over it.
+// linkSeconds returns the time in seconds to move tokens over the tier link, after
+// the bytes that this host has pending on it.
 func (t *Target) linkSeconds(tokens float64) float64 {
 	if t.LinkRate <= 0 {
 		return 0
@@ -92,33 +91,33 @@
 	return (tokens*t.BytesPerToken + float64(t.Meter.linkBytes.Load())) / t.LinkRate
 }
 
-// Occupancy returns the estimated number of requests at the usable targets of
-// a pool, and their slots.
+// Occupancy returns the estimated number of requests at the usable targets of a
+// pool, and the number of their slots.
 func Occupancy(pool []Target) (requests, slots float64) {
 	for i := range pool {
 		if pool[i].Usable {
-			requests += pool[i].requests()
+			requests += pool[i].estimatedRequests()
 			slots += pool[i].Slots
 		}
 	}
 	return requests, slots
 }
 
-// OccupancyWithout is Occupancy over the targets that are not excluded.
+// OccupancyWithout is like Occupancy, without the excluded targets.
 func OccupancyWithout(pool []Target, exclude []bool) (requests, slots float64) {
 	for i := range pool {
 		if pool[i].Usable && (i >= len(exclude) || !exclude[i]) {
-			requests += pool[i].requests()
+			requests += pool[i].estimatedRequests()
 			slots += pool[i].Slots
 		}
 	}
 	return requests, slots
 }
 
-// Reserved marks the targets that are kept for more urgent requests: as many of
-// the usable ones as a share of them, rounded to the nearest, and never all.
-// The first in the order of their hashes are taken, so that every host keeps
-// the same ones. It returns nil if there are none.
+// Reserved marks a share of the usable targets, rounded to the nearest number and
+// never all of them, as reserved for more urgent requests. Targets are taken in the
+// order of their hashes, so that all hosts reserve the same ones. It returns nil if
+// there are none.
 func Reserved(pool []Target, share float64) []bool {
 	var usable []int
 	for i := range pool {
--- a/server/pools.go
+++ b/server/pools.go
@@ -111,7 +111,7 @@
 		return time.Second
 	}
 	requests, slots := router.Occupancy(x.Pool.Targets)
-	hold := x.Pool.Targets[0].Meter.Hold()
+	hold := x.Pool.Targets[0].Meter.MeanSeconds()
 	waiting := float64(s.pools.get(poolName(x)).gate.Waiting())
 	seconds := hold * (1 + (max(0, requests-slots)+waiting)/max(1, slots))
 	return max(time.Second, time.Duration(seconds*float64(time.Second)))
