--- a/controller/orders.go
+++ b/controller/orders.go
@@ -67,15 +67,15 @@
 		n.groups[g] = &group{
 			issuer: orderer.NewIssuer(orderer.Options{
 				Lease:           n.opts.Lease,
-				LongestDelivery: longestDelivery,
-				UnloadAfter:     longestRun(doc),
+				DeliveryTimeout: longestDelivery,
+				UnloadDelay:     longestRun(doc),
 			}),
 			stores: make(map[string]*issuedStore),
 		}
 	}
 	gr := n.groups[g]
-	gr.issuer.Hold(now, epoch)
-	gr.issuer.SetUnloadAfter(longestRun(doc))
+	gr.issuer.SetEpoch(now, epoch)
+	gr.issuer.SetUnloadDelay(longestRun(doc))
 	for _, is := range gr.issuer.Tick(now, n.wants(doc, g), slotCounter{n, now}) {
 		n.issue(now, g, is)
 	}
@@ -92,7 +92,7 @@
 }
 
 // issue gives an order under the lease of a group.
-func (n *Node) issue(now time.Time, g int, is orderer.Issue) {
+func (n *Node) issue(now time.Time, g int, is orderer.AddressedOrder) {
 	doc := n.config.Document()
 	for i := range doc.Upstreams {
 		if doc.Upstreams[i].Name == is.Upstream {
@@ -103,8 +103,8 @@
 }
 
 // wants returns what the engines of a group must be and were seen to be.
-func (n *Node) wants(doc *configurer.Document, g int) []orderer.Want {
-	var out []orderer.Want
+func (n *Node) wants(doc *configurer.Document, g int) []orderer.UpstreamState {
+	var out []orderer.UpstreamState
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
 		if u.Kind != configurer.KindEngine || groupOf(u.Name) != g {
@@ -114,15 +114,15 @@
 		if record.State != tracker.UpstreamLive || at.IsZero() {
 			continue
 		}
-		out = append(out, orderer.Want{
+		out = append(out, orderer.UpstreamState{
 			Upstream:      u.Name,
 			WeightStore:   u.WeightStore,
 			ChecksFencing: u.ChecksFencing,
-			Models:        wantedModels(doc, u),
-			Role:          u.Role,
-			Seen:          at,
+			WantModels:    wantedModels(doc, u),
+			WantRole:      u.Role,
+			ObservedAt:    at,
 			Loaded:        digest.Models,
-			HasRole:       digest.Role,
+			Role:          digest.Role,
 		})
 	}
 	return out
@@ -190,12 +190,12 @@
 	return out
 }
 
-func lacks(w orderer.Want) bool {
+func lacks(w orderer.UpstreamState) bool {
 	have := make(map[wire.LoadedModel]bool, len(w.Loaded))
 	for _, m := range w.Loaded {
 		have[m] = true // a version that is loading has another value
 	}
-	for _, m := range w.Models {
+	for _, m := range w.WantModels {
 		if !have[m] {
 			return true
 		}
@@ -292,7 +292,7 @@
 	}
 	for g, gr := range n.groups {
 		if gr != nil {
-			pending := gr.issuer.Pending(now, store, n.wants(doc, g))
+			pending := gr.issuer.PendingLoads(now, store, n.wants(doc, g))
 			mine += pending
 			all += pending
 		}
--- a/controller/stores.go
+++ b/controller/stores.go
@@ -60,7 +60,7 @@
 	}
 	if u.ChecksFencing && !st.fenced {
 		// An empty order makes the upstream refuse the issuer before this one.
-		n.issue(now, groupOf(u.Name), orderer.Issue{Upstream: u.Name, Order: wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderFree}})
+		n.issue(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderFree}})
 		return
 	}
 	st.settled = true
@@ -76,7 +76,7 @@
 		for _, r := range plan.Free {
 			o.Segments = append(o.Segments, wire.SegmentRef{Name: keeper.WireName(r.Wire), Generation: r.Generation})
 		}
-		n.issue(now, groupOf(u.Name), orderer.Issue{Upstream: u.Name, Order: o})
+		n.issue(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
 	}
 }
 
@@ -88,7 +88,7 @@
 	for _, b := range e.Blocks {
 		o.Blocks = append(o.Blocks, keeper.WireName(b))
 	}
-	n.issue(now, groupOf(u.Name), orderer.Issue{Upstream: u.Name, Order: o})
+	n.issue(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
 }
 
 // storeOrderDone notes that an upstream has accepted this issuer's number.
--- a/orderer/doc.go
+++ b/orderer/doc.go
@@ -1,24 +1,23 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package orderer decides what upstreams are ordered to do: which model
-// versions and adapters to load and unload and which role to play.
+// Package orderer decides which orders upstreams get: to load and unload model
+// versions and adapters, and to change roles.
 //
 // Each upstream has one issuer, the host that holds the lease of its group. The
-// fencing number of an order is the lease's epoch. Upstreams that check it
-// refuse an issuer that was replaced; for those that do not, a new issuer waits
-// as long as the old one could still act, and an issuer looks at its lease
-// again right before it sends. Orders say what must be, not what to change, and
-// may be repeated.
+// fencing number of an order is the epoch of that lease. Upstreams that check it
+// reject orders of earlier issuers. For those that do not, a new issuer waits
+// until the orders of the previous one can no longer arrive, and an issuer checks
+// its lease again just before it sends. Orders are idempotent.
 //
-// Loading weights needs a slot of the weight store. Slots are leases, so that
-// no more servers load at once than the store can feed, whoever issues.
+// Loading weights requires a slot of the weight store. Slots are leases, so that
+// the number of concurrent loads is bounded over all issuers.
 //
 // # Usage
 //
 //	i := orderer.NewIssuer(orderer.Options{...})
-//	i.Hold(now, epoch)
-//	for _, is := range i.Tick(now, wants, slots) { ... send is.Order to is.Upstream ... }
+//	i.SetEpoch(now, epoch)
+//	for _, o := range i.Tick(now, states, slots) { ... send o.Order to o.Upstream ... }
 //
-// All of it is free of I/O and clocks.
+// The package does no I/O and reads no clock.
 package orderer
--- a/orderer/issuer.go
+++ b/orderer/issuer.go
@@ -9,53 +9,52 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// Want is what one upstream must be, and what it was last seen to be.
-type Want struct {
+// UpstreamState is the desired and the last observed state of an upstream.
+type UpstreamState struct {
 	Upstream      string
 	WeightStore   string
 	ChecksFencing bool
-	Models        []wire.LoadedModel // Models must be loaded.
-	Role          string             // Role must be played; empty for any.
+	WantModels    []wire.LoadedModel // WantModels are the versions and adapters to load.
+	WantRole      string             // WantRole is the role to assume; empty for any.
 
-	Seen    time.Time // Seen is when it was last seen.
-	Loaded  []wire.LoadedModel
-	HasRole string
+	ObservedAt time.Time // ObservedAt is the time of the last load report.
+	Loaded     []wire.LoadedModel
+	Role       string
 }
 
-// Issue is one order on its way to an upstream.
-type Issue struct {
+// AddressedOrder is an order with the upstream that gets it.
+type AddressedOrder struct {
 	Upstream string
 	Order    wire.Order
 }
 
-// Slots tells how many more servers of a weight store may begin to load now.
+// Slots limits concurrent loads from weight stores.
 type Slots interface {
-	// Free returns the number of loads that this host may begin from a store.
+	// Free returns the number of loads from a store that this host may start now.
 	Free(store string) int
 }
 
-// Options set the times of an issuer.
+// Options configure an issuer.
 type Options struct {
-	Lease           time.Duration // Lease is how long the issuer before may still believe in its lease.
-	LongestDelivery time.Duration // LongestDelivery bounds the way of an order to an upstream.
-	UnloadAfter     time.Duration // UnloadAfter is how long a version that is not wanted stays, for the runs that still use it.
-	Again           time.Duration // Again is when an order without effect is repeated; default 2 s.
+	Lease           time.Duration // Lease bounds how long the previous issuer may act on its lease.
+	DeliveryTimeout time.Duration // DeliveryTimeout bounds the delivery of an order to an upstream.
+	UnloadDelay     time.Duration // UnloadDelay is how long an unwanted version stays, for requests that still use it.
+	RetryInterval   time.Duration // RetryInterval is the time until an order is repeated; default 2 s.
 }
 
-// defaultAgain is the default of Options.Again.
-const defaultAgain = 2 * time.Second
+const defaultRetryInterval = 2 * time.Second
 
-// Issuer gives orders to one group of upstreams. It is a state machine.
+// Issuer issues orders to one group of upstreams. It is a state machine.
 type Issuer struct {
-	opts     Options
-	epoch    uint64
-	since    time.Time
-	sent     map[target]time.Time // sent is when each order was last given.
-	unwanted map[target]time.Time // unwanted is since when a loaded version is not wanted.
+	opts          Options
+	epoch         uint64
+	acquiredAt    time.Time
+	sentAt        map[orderKey]time.Time // sentAt is when each order was last issued.
+	unwantedSince map[orderKey]time.Time // unwantedSince is since when a loaded version has been unwanted.
 }
 
-// target names one thing that is ordered of one upstream.
-type target struct {
+// orderKey identifies an order to an upstream, without its fencing number.
+type orderKey struct {
 	upstream string
 	kind     wire.OrderKind
 	model    string
@@ -63,113 +62,115 @@
 	adapter  string
 }
 
-// NewIssuer returns an issuer that holds nothing.
+// NewIssuer returns an issuer that holds no lease.
 func NewIssuer(opts Options) *Issuer {
-	if opts.Again == 0 {
-		opts.Again = defaultAgain
+	if opts.RetryInterval == 0 {
+		opts.RetryInterval = defaultRetryInterval
 	}
-	return &Issuer{opts: opts, sent: make(map[target]time.Time), unwanted: make(map[target]time.Time)}
+	return &Issuer{opts: opts, sentAt: make(map[orderKey]time.Time), unwantedSince: make(map[orderKey]time.Time)}
 }
 
-// SetUnloadAfter replaces the time for which unwanted versions stay.
-func (i *Issuer) SetUnloadAfter(d time.Duration) { i.opts.UnloadAfter = d }
+// SetUnloadDelay replaces Options.UnloadDelay.
+func (i *Issuer) SetUnloadDelay(d time.Duration) { i.opts.UnloadDelay = d }
 
-// Hold tells the issuer which lease it holds; epoch 0 means none.
-func (i *Issuer) Hold(now time.Time, epoch uint64) {
+// SetEpoch sets the epoch of the lease that the issuer holds; 0 means none.
+func (i *Issuer) SetEpoch(now time.Time, epoch uint64) {
 	if epoch == i.epoch {
 		return
 	}
-	i.epoch, i.since = epoch, now
-	clear(i.sent)
-	clear(i.unwanted)
+	i.epoch, i.acquiredAt = epoch, now
+	clear(i.sentAt)
+	clear(i.unwantedSince)
 }
 
 // Epoch returns the epoch of the lease that is held.
 func (i *Issuer) Epoch() uint64 { return i.epoch }
 
-// MayOrder reports whether an upstream may be given orders now: at once if it
-// checks fencing numbers, else when the issuer before can no longer act.
+// MayOrder reports whether an upstream may get orders now: at once if it checks
+// fencing numbers, else when orders of the previous issuer can no longer arrive.
 func (i *Issuer) MayOrder(now time.Time, checksFencing bool) bool {
 	if i.epoch == 0 {
 		return false
 	}
-	return checksFencing || now.Sub(i.since) >= i.opts.Lease+i.opts.LongestDelivery
+	return checksFencing || now.Sub(i.acquiredAt) >= i.opts.Lease+i.opts.DeliveryTimeout
 }
 
-// Tick returns the orders to give now: the difference between what upstreams
-// must be and what they were seen to be since the lease was taken.
-func (i *Issuer) Tick(now time.Time, wants []Want, slots Slots) []Issue {
-	var out []Issue
-	begun := make(map[string]int)
-	for _, w := range wants {
-		if !i.MayOrder(now, w.ChecksFencing) || !w.Seen.After(i.since) {
+// Tick returns the orders to send now, from the difference between the desired
+// and the observed state of upstreams. States observed before the lease was
+// acquired are ignored.
+func (i *Issuer) Tick(now time.Time, states []UpstreamState, slots Slots) []AddressedOrder {
+	var out []AddressedOrder
+	started := make(map[string]int)
+	for _, s := range states {
+		if !i.MayOrder(now, s.ChecksFencing) || !s.ObservedAt.After(i.acquiredAt) {
 			continue
 		}
-		out = i.load(now, out, w, slots, begun)
-		out = i.unload(now, out, w)
-		if w.Role != "" && w.Role != w.HasRole {
-			out = i.issue(now, out, w, wire.Order{Kind: wire.OrderRole, Role: w.Role})
+		out = i.load(now, out, s, slots, started)
+		out = i.unload(now, out, s)
+		if s.WantRole != "" && s.WantRole != s.Role {
+			out = i.appendOrder(now, out, s, wire.Order{Kind: wire.OrderRole, Role: s.WantRole})
 		}
 	}
 	return out
 }
 
-// load orders what is missing, one version at a time for each upstream.
-func (i *Issuer) load(now time.Time, out []Issue, w Want, slots Slots, begun map[string]int) []Issue {
-	for _, m := range w.Loaded {
+// load orders missing versions and adapters, one at a time for each upstream.
+func (i *Issuer) load(now time.Time, out []AddressedOrder, s UpstreamState, slots Slots, started map[string]int) []AddressedOrder {
+	for _, m := range s.Loaded {
 		if m.Loading {
 			return out
 		}
 	}
-	for _, m := range w.Models {
-		if find(w.Loaded, m) {
+	for _, m := range s.WantModels {
+		if contains(s.Loaded, m) {
 			continue
 		}
-		if slots.Free(w.WeightStore)-begun[w.WeightStore] <= 0 {
+		if slots.Free(s.WeightStore)-started[s.WeightStore] <= 0 {
 			return out
 		}
 		n := len(out)
-		out = i.issue(now, out, w, wire.Order{Kind: wire.OrderLoad, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
+		out = i.appendOrder(now, out, s, wire.Order{Kind: wire.OrderLoad, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
 		if len(out) > n {
-			begun[w.WeightStore]++
+			started[s.WeightStore]++
 		}
 		return out
 	}
 	return out
 }
 
-// unload orders away what has not been wanted for long enough.
-func (i *Issuer) unload(now time.Time, out []Issue, w Want) []Issue {
-	for _, m := range w.Loaded {
-		t := target{upstream: w.Upstream, kind: wire.OrderUnload, model: m.Name, version: m.Version, adapter: m.Adapter}
-		if m.Loading || find(w.Models, m) || !replaced(w, m) {
-			delete(i.unwanted, t)
+// unload orders the unloading of what has been unwanted for UnloadDelay.
+func (i *Issuer) unload(now time.Time, out []AddressedOrder, s UpstreamState) []AddressedOrder {
+	for _, m := range s.Loaded {
+		k := orderKey{upstream: s.Upstream, kind: wire.OrderUnload, model: m.Name, version: m.Version, adapter: m.Adapter}
+		if m.Loading || contains(s.WantModels, m) || !replacementsLoaded(s, m) {
+			delete(i.unwantedSince, k)
 			continue
 		}
-		since, ok := i.unwanted[t]
+		since, ok := i.unwantedSince[k]
 		if !ok {
-			i.unwanted[t] = now
+			i.unwantedSince[k] = now
 			continue
 		}
-		if now.Sub(since) >= i.opts.UnloadAfter {
-			out = i.issue(now, out, w, wire.Order{Kind: wire.OrderUnload, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
+		if now.Sub(since) >= i.opts.UnloadDelay {
+			out = i.appendOrder(now, out, s, wire.Order{Kind: wire.OrderUnload, Model: m.Name, Version: m.Version, Adapter: m.Adapter})
 		}
 	}
 	return out
 }
 
-// replaced reports whether everything that is wanted is there, so that what is
-// not wanted can go.
-func replaced(w Want, m wire.LoadedModel) bool {
-	for _, want := range w.Models {
-		if want.Name == m.Name && !find(w.Loaded, want) {
+// replacementsLoaded reports whether all wanted versions and adapters of m's model
+// are loaded.
+func replacementsLoaded(s UpstreamState, m wire.LoadedModel) bool {
+	for _, want := range s.WantModels {
+		if want.Name == m.Name && !contains(s.Loaded, want) {
 			return false
 		}
 	}
 	return true
 }
 
-func find(list []wire.LoadedModel, m wire.LoadedModel) bool {
+// contains reports whether m is in the list and not loading.
+func contains(list []wire.LoadedModel, m wire.LoadedModel) bool {
 	for _, o := range list {
 		if o.Name == m.Name && o.Version == m.Version && o.Adapter == m.Adapter && !o.Loading {
 			return true
@@ -178,29 +179,29 @@
 	return false
 }
 
-// issue adds an order unless it was given a moment ago.
-func (i *Issuer) issue(now time.Time, out []Issue, w Want, o wire.Order) []Issue {
-	t := target{upstream: w.Upstream, kind: o.Kind, model: o.Model, version: o.Version, adapter: o.Adapter}
-	if last, ok := i.sent[t]; ok && now.Sub(last) < i.opts.Again {
+// appendOrder adds an order unless it was issued within the retry interval.
+func (i *Issuer) appendOrder(now time.Time, out []AddressedOrder, s UpstreamState, o wire.Order) []AddressedOrder {
+	k := orderKey{upstream: s.Upstream, kind: o.Kind, model: o.Model, version: o.Version, adapter: o.Adapter}
+	if last, ok := i.sentAt[k]; ok && now.Sub(last) < i.opts.RetryInterval {
 		return out
 	}
-	i.sent[t] = now
+	i.sentAt[k] = now
 	o.Fencing = i.epoch
-	return append(out, Issue{Upstream: w.Upstream, Order: o})
+	return append(out, AddressedOrder{Upstream: s.Upstream, Order: o})
 }
 
-// Pending returns the number of loads of a store that were ordered and have not
-// been seen to begin or to end.
-func (i *Issuer) Pending(now time.Time, store string, wants []Want) int {
+// PendingLoads returns the number of loads from a store that were ordered within the
+// retry interval and have not been observed to start or end.
+func (i *Issuer) PendingLoads(now time.Time, store string, states []UpstreamState) int {
 	n := 0
-	for _, w := range wants {
-		if w.WeightStore != store {
+	for _, s := range states {
+		if s.WeightStore != store {
 			continue
 		}
-		for _, m := range w.Models {
-			t := target{upstream: w.Upstream, kind: wire.OrderLoad, model: m.Name, version: m.Version, adapter: m.Adapter}
-			at, ok := i.sent[t]
-			if ok && now.Sub(at) < i.opts.Again && !loadingOrLoaded(w.Loaded, m) {
+		for _, m := range s.WantModels {
+			k := orderKey{upstream: s.Upstream, kind: wire.OrderLoad, model: m.Name, version: m.Version, adapter: m.Adapter}
+			at, ok := i.sentAt[k]
+			if ok && now.Sub(at) < i.opts.RetryInterval && !loadingOrLoaded(s.Loaded, m) {
 				n++
 			}
 		}
