--- a/runner/host.go
+++ b/runner/host.go
@@ -144,7 +144,7 @@
 		Budget:      h.budget,
 		Claims:      h.loop,
 		Shares:      h.urger,
-		Keeper:      h.knowledge,
+		CacheIndex:  h.knowledge,
 		Recorder:    h.outcomes,
 		Timer:       h.timer,
 		Log:         h.logger,
--- a/runner/knowledge.go
+++ b/runner/knowledge.go
@@ -88,8 +88,8 @@
 	return out
 }
 
-// Placed implements server.Keeper.
-func (k *knowledge) Placed(now time.Time, p server.Placement) {
+// RecordPlacement implements server.Keeper.
+func (k *knowledge) RecordPlacement(now time.Time, p server.Placement) {
 	n := p.Chain.Len()
 	if n == 0 {
 		return
@@ -102,7 +102,7 @@
 		chance = c.returns / c.turns
 	}
 	k.mu.Unlock()
-	if p.Displaced {
+	if p.NotPreferred {
 		k.post(controller.PlacementMade{Placement: messenger.Placement{Upstream: p.Upstream, End: p.Chain.At(n - 1)}})
 	}
 	if from == n {
--- a/runner/urge.go
+++ b/runner/urge.go
@@ -33,8 +33,8 @@
 	return &urger{host: h, asked: make(map[string]time.Time), change: make(map[string]chan struct{})}
 }
 
-// Urge implements server.Shares.
-func (u *urger) Urge(ctx context.Context, workspace string) bool {
+// RequestShare implements server.Shares.
+func (u *urger) RequestShare(ctx context.Context, workspace string) bool {
 	now := u.host.timer.Now()
 	u.mu.Lock()
 	if now.Sub(u.asked[workspace]) < urgeAgain {
--- a/server/answer.go
+++ b/server/answer.go
@@ -14,19 +14,18 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// maxAnswerBytes bounds answers that are not streams.
+// maxAnswerBytes bounds responses that are not streams.
 const maxAnswerBytes = 32 << 20
 
-// forwardable are the headers that callers and plain services pass through the
-// system. All others end here.
+// Headers that are forwarded to upstreams and to callers. All others are dropped.
 var (
-	forwardableUp   = []string{"Content-Type", "Accept", "Accept-Language", "If-Match", "If-None-Match", "Traceparent"}
-	forwardableDown = []string{"Content-Type", "Content-Language", "Cache-Control", "Etag", "Last-Modified", "Location"}
+	requestHeaders  = []string{"Content-Type", "Accept", "Accept-Language", "If-Match", "If-None-Match", "Traceparent"}
+	responseHeaders = []string{"Content-Type", "Content-Language", "Cache-Control", "Etag", "Last-Modified", "Location"}
 )
 
-func forwardedHeader(from http.Header) http.Header {
-	out := make(http.Header, len(forwardableUp)+2)
-	copyHeaders(out, from, forwardableUp)
+func selectRequestHeaders(from http.Header) http.Header {
+	out := make(http.Header, len(requestHeaders)+2)
+	copyHeaders(out, from, requestHeaders)
 	return out
 }
 
@@ -38,8 +37,8 @@
 	}
 }
 
-// call carries one call of a plain service.
-func (d *delivery) call(ctx context.Context, a *forwarder.Attempt, first func()) *forwarder.Failure {
+// forwardServiceCall sends a call to a plain service and its response to the caller.
+func (d *delivery) forwardServiceCall(ctx context.Context, a *forwarder.Attempt, first func()) *forwarder.Failure {
 	resp, fail := d.server.opts.Forwarder.Open(ctx, a)
 	if fail != nil {
 		return fail
@@ -50,26 +49,26 @@
 		return fail
 	}
 	first()
-	d.begin(resp)
-	copyHeaders(d.x.writer.Header(), resp.Header(), forwardableDown)
-	d.finish(resp.Status(), body)
+	d.startAnswer(resp)
+	copyHeaders(d.x.writer.Header(), resp.Header(), responseHeaders)
+	d.writeAnswer(resp.Status(), body)
 	return nil
 }
 
-// passOn gives the caller an upstream's word that the request is wrong.
-func (d *delivery) passOn(resp *forwarder.Response) *forwarder.Failure {
+// relayResponse relays a response that rejects the request.
+func (d *delivery) relayResponse(resp *forwarder.Response) *forwarder.Failure {
 	body, fail := resp.Whole(maxAnswerBytes)
 	if fail != nil {
 		return fail
 	}
-	d.begin(resp)
-	copyHeaders(d.x.writer.Header(), resp.Header(), forwardableDown)
-	d.finish(resp.Status(), body)
+	d.startAnswer(resp)
+	copyHeaders(d.x.writer.Header(), resp.Header(), responseHeaders)
+	d.writeAnswer(resp.Status(), body)
 	return nil
 }
 
-// whole carries an answer that is not a stream.
-func (d *delivery) whole(resp *forwarder.Response, nonce string, first func()) *forwarder.Failure {
+// forwardJSON forwards a response that is not a stream.
+func (d *delivery) forwardJSON(resp *forwarder.Response, nonce string, first func()) *forwarder.Failure {
 	body, fail := resp.Whole(maxAnswerBytes)
 	if fail != nil {
 		return fail
@@ -86,26 +85,26 @@
 	if c.Usage == nil || len(c.Choices) == 0 || c.Choices[0].FinishReason == nil {
 		return &forwarder.Failure{Cause: forwarder.CauseCut, Ran: forwarder.RanYes, Detail: "the answer has no end"}
 	}
-	d.begin(resp)
-	d.count(c.Usage)
+	d.startAnswer(resp)
+	d.recordUsage(c.Usage)
 	d.outcome.Tokens = c.Usage.CompletionTokens
-	d.keepText(&c.Choices[0])
+	d.recordText(&c.Choices[0])
 	d.x.writer.Header().Set("Content-Type", "application/json")
-	d.finish(http.StatusOK, body)
+	d.writeAnswer(http.StatusOK, body)
 	return nil
 }
 
-// keepText notes the text of a whole answer.
-func (d *delivery) keepText(c *wire.Choice) {
+// recordText stores the text of a response that is not a stream.
+func (d *delivery) recordText(c *wire.Choice) {
 	text := c.Text
 	if c.Message != nil {
 		text = c.Message.Content
 	}
-	d.text = append(d.text, forwarder.EscapeText(text)...)
+	d.sentText = append(d.sentText, forwarder.EscapeText(text)...)
 }
 
-// begin notes that an answer has come from an upstream.
-func (d *delivery) begin(resp *forwarder.Response) {
+// startAnswer records the time to the first token and sets the response headers.
+func (d *delivery) startAnswer(resp *forwarder.Response) {
 	if d.outcome.FirstToken == 0 {
 		d.outcome.FirstToken = d.server.opts.Timer.Now().Sub(d.x.Start)
 	}
@@ -116,14 +115,14 @@
 	}
 }
 
-// count takes token numbers over from an upstream's count.
-func (d *delivery) count(u *wire.Usage) {
+// recordUsage stores the token counts that an upstream reported.
+func (d *delivery) recordUsage(u *wire.Usage) {
 	d.outcome.Prompt = u.PromptTokens
 	d.outcome.Cached = u.PromptDetails.CachedTokens
 }
 
-// finish writes a whole answer to the caller.
-func (d *delivery) finish(status int, body []byte) {
+// writeAnswer writes a response that is not a stream to the caller.
+func (d *delivery) writeAnswer(status int, body []byte) {
 	d.outcome.Status = status
 	d.outcome.Ran = forwarder.RanYes
 	d.outcome.complete = true
@@ -136,24 +135,24 @@
 
 // callerSink writes the events of a stream to the caller.
 type callerSink struct {
-	d       *delivery
-	control *http.ResponseController
-	first   func()
-	nonce   string // nonce is the attempt's; callers see that of the first.
-	public  string
-	writer  http.ResponseWriter
-	buf     []byte
-	bounded time.Time // bounded is when the write deadline was last set.
+	d             *delivery
+	control       *http.ResponseController
+	first         func()
+	nonce         string // nonce is that of the attempt.
+	publicNonce   string // publicNonce is that of the first attempt, which callers see.
+	writer        http.ResponseWriter
+	buf           []byte
+	deadlineSetAt time.Time // deadlineSetAt is when the write deadline was last set.
 }
 
-// writeTimeout bounds the time that a caller may take to read what was sent.
+// writeTimeout bounds the time that a caller may take to read buffered data.
 const writeTimeout = 30 * time.Second
 
-// stream carries a stream of events.
-func (d *delivery) stream(resp *forwarder.Response, attemptNonce string, first func()) *forwarder.Failure {
+// forwardStream forwards a stream of events.
+func (d *delivery) forwardStream(resp *forwarder.Response, attemptNonce string, first func()) *forwarder.Failure {
 	resumed := d.outcome.written
 	if !resumed {
-		d.begin(resp)
+		d.startAnswer(resp)
 		h := d.x.writer.Header()
 		h.Set("Content-Type", "text/event-stream")
 		h.Set("Cache-Control", "no-store")
@@ -161,18 +160,18 @@
 		return &forwarder.Failure{Cause: forwarder.CauseMalformed, Ran: forwarder.RanYes, Detail: "another weight version answered"}
 	}
 	sink := &callerSink{
-		d:       d,
-		control: http.NewResponseController(d.x.writer),
-		first:   first,
-		nonce:   attemptNonce,
-		public:  nonce(d.x.ID, 1),
-		writer:  d.x.writer,
+		d:           d,
+		control:     http.NewResponseController(d.x.writer),
+		first:       first,
+		nonce:       attemptNonce,
+		publicNonce: nonce(d.x.ID, 1),
+		writer:      d.x.writer,
 	}
 	if fail := resp.Stream(sink); fail != nil {
-		_ = sink.Flush() // what came is the caller's; the rest is continued or missing
+		_ = sink.Flush() // events received before the failure still go to the caller
 		return fail
 	}
-	return sink.end()
+	return sink.finish()
 }
 
 // Event implements forwarder.Sink.
@@ -181,9 +180,9 @@
 	if e.Text != "" {
 		c.first()
 		d.outcome.Tokens++
-		d.text = append(d.text, e.Text...)
+		d.sentText = append(d.sentText, e.Text...)
 	}
-	data, ok := c.visible(e)
+	data, ok := c.rewrite(e)
 	if !ok {
 		return nil
 	}
@@ -200,7 +199,7 @@
 	return nil
 }
 
-// flushBytes is the size at which events are passed on although more are there.
+// flushBytes is the buffer size from which events are flushed before all are read.
 const flushBytes = 16 << 10
 
 // Flush implements forwarder.Sink.
@@ -208,8 +207,8 @@
 	if len(c.buf) == 0 {
 		return nil
 	}
-	if now := c.d.server.opts.Timer.Now(); now.Sub(c.bounded) > writeTimeout/4 {
-		c.bounded = now
+	if now := c.d.server.opts.Timer.Now(); now.Sub(c.deadlineSetAt) > writeTimeout/4 {
+		c.deadlineSetAt = now
 		_ = c.control.SetWriteDeadline(now.Add(writeTimeout))
 	}
 	_, err := c.writer.Write(c.buf)
@@ -220,37 +219,37 @@
 	return c.control.Flush()
 }
 
-// visible returns an event as the caller may see it: under the first attempt's
-// nonce, with token counts only if asked for and as if there was one attempt.
-func (c *callerSink) visible(e forwarder.Event) (string, bool) {
+// rewrite returns an event as the caller sees it: with the nonce of the first
+// attempt, and with token counts only if requested and summed over all attempts.
+func (c *callerSink) rewrite(e forwarder.Event) (string, bool) {
 	data := e.Data
-	if c.nonce != c.public {
-		data = strings.Replace(data, c.nonce, c.public, 1)
+	if c.nonce != c.publicNonce {
+		data = strings.Replace(data, c.nonce, c.publicNonce, 1)
 	}
 	if e.Usage == nil {
 		return data, true
 	}
-	c.d.count(e.Usage)
-	asked := c.d.x.Call.Prompt.StreamOptions
-	if asked == nil || !asked.IncludeUsage {
+	c.d.recordUsage(e.Usage)
+	options := c.d.x.Call.Prompt.StreamOptions
+	if options == nil || !options.IncludeUsage {
 		return "", false
 	}
-	if c.nonce == c.public {
+	if c.nonce == c.publicNonce {
 		return data, true
 	}
 	var chunk wire.Chunk
 	if json.Unmarshal([]byte(data), &chunk) != nil {
 		return "", false
 	}
-	before := c.d.outcome.Tokens - chunk.Usage.CompletionTokens
-	chunk.Usage.CompletionTokens += before
-	chunk.Usage.PromptTokens -= before
-	fixed, err := json.Marshal(chunk)
-	return string(fixed), err == nil
+	earlier := c.d.outcome.Tokens - chunk.Usage.CompletionTokens
+	chunk.Usage.CompletionTokens += earlier
+	chunk.Usage.PromptTokens -= earlier
+	rewritten, err := json.Marshal(chunk)
+	return string(rewritten), err == nil
 }
 
-// end writes the end marker of a whole stream.
-func (c *callerSink) end() *forwarder.Failure {
+// finish writes the end marker of a complete stream.
+func (c *callerSink) finish() *forwarder.Failure {
 	d := c.d
 	d.outcome.Status = http.StatusOK
 	d.outcome.Ran = forwarder.RanYes
--- a/server/doc.go
+++ b/server/doc.go
@@ -3,24 +3,23 @@
 
 // Package server answers callers over HTTP.
 //
-// A request passes a chain of filters: identify, limit, claim, wait, forward;
-// the outcome comes back through the same chain and is recorded. The chain and the
-// attempts at upstreams are those of package dispatcher. Each filter
-// is one function with one job and the outcome is a value. The filters read
-// the newest snapshot and take part in no agreement themselves; what needs
-// agreement is asked of a Claims.
+// A request passes a chain of filters: identify, limit, resolve, claim,
+// awaitCapacity and forward. The outcome is a value that is returned through the
+// same chain and recorded. Package dispatcher provides the chain and the attempts
+// at upstreams. The filters read the latest snapshot; requests that may run only
+// once are coordinated with other hosts through Claims.
 //
 // # Usage
 //
 //	s := server.New(server.Options{Publisher: pub, Forwarder: fwd, ...})
 //	go http.Serve(listener, s.Handler())
 //	...
-//	s.Drain(ctx) // refuses nothing that callers still bring, ends when idle
+//	s.Drain(ctx) // still serves new requests, returns when idle
 //
 // # What callers see
 //
 // POST /v1/completions and /v1/chat/completions follow the usual completions
-// API, with server-sent events for streams. /services/{Service}/ passes plain
-// calls on. GET /v1/addresses tells which hosts to use. Every error is a
+// API, with server-sent events for streams. /services/{Service}/ forwards calls
+// to plain services. GET /v1/addresses returns the hosts to use. Every error is a
 // problem document (RFC 9457) whose member Ran says whether the request ran.
 package server
--- a/server/drain.go
+++ b/server/drain.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Serve answers callers on a listener until Drain or Close.
+// Serve serves callers on a listener until Drain or Close.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(l)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -20,18 +20,18 @@
 	return err
 }
 
-// pollOpen is how often Drain looks whether requests are still open.
-const pollOpen = 20 * time.Millisecond
+// drainPollInterval is the interval at which Drain checks for open requests.
+const drainPollInterval = 20 * time.Millisecond
 
-// Drain ends the server without cutting a request. The host must have left the
-// answers to GET /v1/addresses before; callers that hold an older answer are
-// served for as long as it lives. Drain returns the number of requests that
-// were still open when ctx ended.
+// Drain shuts the server down without interrupting requests. The host must have
+// been removed from the answers to GET /v1/addresses before; new requests are
+// served until older answers have expired. Drain returns the number of requests
+// that were still open when ctx ended.
 func (s *Server) Drain(ctx context.Context) int {
 	s.draining.Store(true)
-	wait(ctx, s.opts.AddressTTL)
+	sleep(ctx, s.opts.AddressTTL)
 	for s.Open() > 0 && ctx.Err() == nil {
-		wait(ctx, pollOpen)
+		sleep(ctx, drainPollInterval)
 	}
 	left := s.Open()
 	if ctx.Err() != nil {
@@ -42,14 +42,15 @@
 	return 0
 }
 
-// Close ends the server at once and returns the number of requests cut.
+// Close closes the server at once and returns the number of interrupted requests.
 func (s *Server) Close() int {
 	left := s.Open()
 	_ = s.http.Close()
 	return left
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -16,7 +16,7 @@
 	"amaranthgate.example/amaranthgate/router"
 )
 
-// Headers that callers may send or get.
+// Headers of requests and responses.
 const (
 	HeaderRequestID  = "X-Request-Id"
 	HeaderKey        = "Idempotency-Key"
@@ -25,10 +25,10 @@
 	HeaderClass      = "Amaranthgate-Class"
 	HeaderDeadline   = "Amaranthgate-Deadline" // HeaderDeadline is a duration such as "2s".
 	HeaderUpstream   = "Amaranthgate-Upstream"
-	HeaderReplayed   = "Amaranthgate-Replayed" // HeaderReplayed is "true" on a kept answer.
+	HeaderReplayed   = "Amaranthgate-Replayed" // HeaderReplayed is "true" on a stored response.
 )
 
-// Call is what the caller wants done.
+// Call is the call that a caller makes.
 type Call struct {
 	Chat    bool
 	Prompt  *wire.CompletionRequest // Prompt is nil for plain services.
@@ -38,38 +38,38 @@
 	Body    []byte
 }
 
-// Exchange is one request on its way through the filters.
+// Exchange is the state of one request that passes the filters.
 type Exchange struct {
-	ID         string
-	Start      time.Time
-	Deadline   time.Time
-	Snapshot   *publisher.Snapshot
-	Workspace  *configurer.Workspace
-	Class      configurer.Class
-	Key        string
-	FirstTime  bool // FirstTime tells that the caller vouches for not having used the key.
-	Repeatable bool
-	Call       Call
-	Pool       *publisher.Pool
-	Routing    router.Request // Routing is what routing knows of the request.
+	ID           string
+	Start        time.Time
+	Deadline     time.Time
+	Snapshot     *publisher.Snapshot
+	Workspace    *configurer.Workspace
+	Class        configurer.Class
+	Key          string
+	FirstAttempt bool // FirstAttempt reports whether the caller states that it has not used the key before.
+	Repeatable   bool
+	Call         Call
+	Pool         *publisher.Pool
+	Routing      router.Request // Routing is the request as the router sees it.
 
-	writer  http.ResponseWriter
-	request *http.Request
-	release func() // release gives back the place that the wait filter took.
-	pool    *poolState
-	chain   keeper.Chain
-	body    promptBody
-	before  time.Time // before is when the request's claim goes stale; zero if it has none.
+	writer      http.ResponseWriter
+	request     *http.Request
+	release     func() // release gives back the capacity that awaitCapacity took.
+	pool        *poolState
+	chain       keeper.Chain
+	body        promptBody
+	claimExpiry time.Time // claimExpiry is when the request's claim expires; zero if it has none.
 }
 
-// Handler answers an exchange.
+// Handler handles an exchange.
 type Handler = dispatcher.Handler[*Exchange, Outcome]
 
-// newID returns a random request ID. Its length is constant.
+// newID returns a random request ID of constant length.
 func newID() string { return rand.Text() }
 
 // nonce returns the nonce of an attempt. All nonces of a request have the same
-// length.
+// length, so that one can replace another in a response.
 func nonce(id string, attempt int) string {
 	return id + "-" + string([]byte{byte('0' + attempt/10%10), byte('0' + attempt%10)})
 }
--- a/server/filters.go
+++ b/server/filters.go
@@ -17,7 +17,7 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// identify finds the workspace, the class and the deadline.
+// identify sets the workspace, the class and the deadline.
 func (s *Server) identify(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) Outcome {
 		if !x.Snapshot.Ready {
@@ -42,7 +42,7 @@
 	}
 }
 
-// classify sets class and deadline from the headers.
+// classify sets the class and the deadline from the headers.
 func (x *Exchange) classify() Outcome {
 	name := x.request.Header.Get(HeaderClass)
 	if name == "" {
@@ -64,11 +64,11 @@
 	return Outcome{}
 }
 
-// limit takes the request out of the workspace's share.
+// limit enforces this host's share of the workspace's limits.
 func (s *Server) limit(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) Outcome {
 		r := s.opts.Limiter.Admit(s.opts.Timer.Now(), x.Workspace.Name)
-		if !r.Admitted && s.opts.Shares != nil && s.opts.Shares.Urge(ctx, x.Workspace.Name) {
+		if !r.Admitted && s.opts.Shares != nil && s.opts.Shares.RequestShare(ctx, x.Workspace.Name) {
 			r = s.opts.Limiter.Admit(s.opts.Timer.Now(), x.Workspace.Name)
 		}
 		if !r.Admitted {
@@ -85,8 +85,8 @@
 	}
 }
 
-// claim sees to it that a request with a key that may not be repeated runs at
-// most once.
+// claim ensures that a request with an idempotency key that may not be repeated
+// runs at most once.
 func (s *Server) claim(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) Outcome {
 		if x.Repeatable || x.Key == "" {
@@ -99,12 +99,12 @@
 		}
 		settled := s.opts.Claims.Claim(ctx, req, x.Deadline)
 		if settled.Verdict != claimer.VerdictWon {
-			return s.unclaimed(x, settled)
+			return s.claimNotWon(x, settled)
 		}
-		x.before = settled.Before
-		rec := &recorder{ResponseWriter: x.writer, limit: x.Snapshot.Document.Claims.KeptBytes}
+		x.claimExpiry = settled.Before
+		rec := &answerCapture{ResponseWriter: x.writer, limit: x.Snapshot.Document.Claims.KeptBytes}
 		x.writer = rec
-		// What was claimed is brought to its end even if the caller goes away.
+		// A claimed request runs to completion even if the caller disconnects.
 		ctx, cancel := timer.WithDeadline(context.WithoutCancel(ctx), s.opts.Timer, x.Deadline)
 		defer cancel()
 		o := next(ctx, x)
@@ -113,7 +113,7 @@
 	}
 }
 
-// claimState tells what to record of a claimed request.
+// claimState returns the state to record for a claimed request.
 func claimState(o Outcome) claimer.State {
 	switch {
 	case o.Ran == forwarder.RanNo:
@@ -124,7 +124,8 @@
 	return claimer.StateUnknown
 }
 
-func (s *Server) unclaimed(x *Exchange, settled claimer.Settled) Outcome {
+// claimNotWon returns the outcome of a request whose claim was not won.
+func (s *Server) claimNotWon(x *Exchange, settled claimer.Settled) Outcome {
 	switch settled.Verdict {
 	case claimer.VerdictDone:
 		return replay(x, settled.Answer)
@@ -135,14 +136,14 @@
 	}
 	o := refuse(http.StatusServiceUnavailable, ReasonNoAgreement, "this attempt was not run; earlier ones with the key may have been")
 	o.Ran = forwarder.RanUnknown
-	if x.FirstTime {
+	if x.FirstAttempt {
 		o.Ran, o.Detail = forwarder.RanNo, ""
 	}
 	o.RetryAfter = time.Second
 	return o
 }
 
-// replay gives the kept answer of an earlier request with the same key.
+// replay writes the stored response of an earlier request with the same key.
 func replay(x *Exchange, a *claimer.Answer) Outcome {
 	if a == nil {
 		return Outcome{Status: http.StatusConflict, Reason: ReasonAnswered, Ran: forwarder.RanYes}
@@ -157,9 +158,9 @@
 	return Outcome{Status: a.Status, Ran: forwarder.RanYes, written: true}
 }
 
-// wait holds the request until an upstream has room for its class, or refuses
-// it once its deadline cannot be met.
-func (s *Server) wait(next Handler) Handler {
+// awaitCapacity queues the request until an upstream has capacity for its class, or
+// refuses it once its deadline cannot be met.
+func (s *Server) awaitCapacity(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) Outcome {
 		x.pool = s.pools.get(poolName(x))
 		item := &scheduler.Item{
@@ -168,8 +169,8 @@
 			Rank:            x.Class.Rank,
 			Workspace:       x.Workspace.Name,
 			WorkspaceWeight: x.Workspace.Weight,
-			Cost:            x.cost(),
-			Latest:          x.Deadline.Add(-s.leastTime(x)),
+			Cost:            x.costTokens(),
+			Latest:          x.Deadline.Add(-s.minServiceTime(x)),
 		}
 		switch x.pool.gate.Enter(ctx, item) {
 		case scheduler.TooLate:
@@ -196,11 +197,11 @@
 	}
 }
 
-// statusCallerGone is recorded for callers that went away; none sees it.
+// statusCallerGone is recorded for callers that disconnected; it is never sent.
 const statusCallerGone = 499
 
-// cost returns the work that a request brings, in tokens.
-func (x *Exchange) cost() float64 {
+// costTokens returns the cost of a request for scheduling, in tokens.
+func (x *Exchange) costTokens() float64 {
 	if x.Call.Prompt == nil {
 		return 1
 	}
--- a/server/forward.go
+++ b/server/forward.go
@@ -17,72 +17,72 @@
 	"amaranthgate.example/amaranthgate/router"
 )
 
-// delivery is the state of a request over its attempts. It is the
-// dispatcher.Way of the completions API.
+// delivery is the state of a request over its attempts. It implements
+// dispatcher.Way.
 type delivery struct {
-	server  *Server
-	x       *Exchange
-	outcome Outcome
-	tried   []int
-	stale   bool   // stale tells that the request's claim ran out before it could be sent.
-	text    []byte // text is what the caller has, escaped as in JSON.
-	version string // version is the weight version of the first attempt whose text the caller has.
+	server       *Server
+	x            *Exchange
+	outcome      Outcome
+	tried        []int
+	claimExpired bool   // claimExpired reports whether the request's claim expired before it could be sent.
+	sentText     []byte // sentText is the text that the caller has, escaped as in JSON.
+	version      string // version is the weight version of the first attempt whose text the caller has.
 }
 
-// picked is an upstream of the pool with the decision that led to it.
-type picked struct {
+// choice is an upstream of the pool with the routing decision that chose it.
+type choice struct {
 	upstream *publisher.Upstream
 	decision router.Decision
 }
 
-// forward sends the request to an upstream and its answer back, with retries
-// within the budget.
+// forward sends the request to an upstream and the response to the caller, with
+// retries within the budget.
 func (s *Server) forward(ctx context.Context, x *Exchange) Outcome {
 	if len(x.Pool.Targets) == 0 {
 		return refuse(http.StatusServiceUnavailable, ReasonNoUpstream, "")
 	}
 	d := &delivery{server: s, x: x}
 	s.opts.Budget.Request()
-	most := x.Snapshot.Document.Retry.Attempts
-	tries := dispatcher.Run(ctx, dispatcher.Policy{Repeatable: x.Repeatable, Runs: most, Attempts: most}, d)
+	attempts := x.Snapshot.Document.Retry.Attempts
+	tries := dispatcher.Run(ctx, dispatcher.Policy{Repeatable: x.Repeatable, Runs: attempts, Attempts: attempts}, d)
 	if tries.Done() {
 		return d.outcome
 	}
-	return d.failed(ctx, &tries)
+	return d.failureOutcome(ctx, &tries)
 }
 
 // Withdraw implements dispatcher.Way.
 func (d *delivery) Withdraw() bool { return d.server.opts.Budget.Withdraw() }
 
-// Continues implements dispatcher.Way: an answer of which the caller has a part
-// can be continued elsewhere if it is a stream that lacks tokens.
+// Continues implements dispatcher.Way: a partly sent response can be continued by
+// another upstream if it is a stream and tokens are missing.
 func (d *delivery) Continues() bool {
 	prompt := d.x.Call.Prompt
 	return !d.outcome.written || prompt != nil && prompt.Stream && d.outcome.Tokens < prompt.MaxTokens
 }
 
-// claimed reports whether a claimed request may still be sent. A host that was
-// paused after it won finds its claim stale.
-func (d *delivery) claimed() bool {
-	return d.x.before.IsZero() || d.server.opts.Timer.Now().Before(d.x.before)
+// claimValid reports whether a claimed request may still be sent. A claim may have
+// expired while the host was paused.
+func (d *delivery) claimValid() bool {
+	return d.x.claimExpiry.IsZero() || d.server.opts.Timer.Now().Before(d.x.claimExpiry)
 }
 
 // Choose implements dispatcher.Way.
-func (d *delivery) Choose(context.Context) (picked, bool) {
+func (d *delivery) Choose(context.Context) (choice, bool) {
 	i, decision, ok := d.choose()
 	if !ok {
-		return picked{}, false
+		return choice{}, false
 	}
-	if !d.claimed() {
-		d.stale = true
-		return picked{}, false
+	if !d.claimValid() {
+		d.claimExpired = true
+		return choice{}, false
 	}
 	d.tried = append(d.tried, i)
-	return picked{upstream: &d.x.Pool.Upstreams[i], decision: decision}, true
+	return choice{upstream: &d.x.Pool.Upstreams[i], decision: decision}, true
 }
 
 // Try implements dispatcher.Way.
-func (d *delivery) Try(ctx context.Context, c picked) dispatcher.Result {
+func (d *delivery) Try(ctx context.Context, c choice) dispatcher.Result {
 	s, x, up := d.server, d.x, c.upstream
 	d.outcome.Attempts++
 	d.outcome.Upstream = up.Name
@@ -104,10 +104,10 @@
 	}()
 	fail := d.send(ctx, up, c.decision, first)
 	if gotFirst {
-		d.placed(up, c.decision, fail == nil)
+		d.recordPlacement(up, c.decision, fail == nil)
 	}
 	if fail == nil || fail.Cause != forwarder.CauseCaller {
-		up.Instruments.Breaker.Record(s.opts.Timer.Now(), fail == nil || !blames(fail))
+		up.Instruments.Breaker.Record(s.opts.Timer.Now(), fail == nil || !indicatesFault(fail))
 	}
 	if fail == nil {
 		return dispatcher.Result{Verdict: dispatcher.Done, Reached: true}
@@ -115,30 +115,30 @@
 	return dispatcher.Failed(fail)
 }
 
-// placed tells what the upstream has computed now: the prompt, and the answer
-// too if it is whole, because the next turn repeats it.
-func (d *delivery) placed(up *publisher.Upstream, decision router.Decision, whole bool) {
+// recordPlacement records in the cache index what the upstream has computed: the
+// prompt and, if complete, the response, which is part of the next turn's prompt.
+func (d *delivery) recordPlacement(up *publisher.Upstream, decision router.Decision, complete bool) {
 	x := d.x
 	chain := x.chain
-	if text, ok := forwarder.UnescapeText(string(d.text)); ok && whole && len(text) > 0 {
+	if text, ok := forwarder.UnescapeText(string(d.sentText)); ok && complete && len(text) > 0 {
 		prompt := x.Call.Prompt.PromptText()
 		m, _ := x.Snapshot.Document.Model(x.Call.Prompt.Model)
 		salt := d.server.salt(x.Workspace.Name, m.Name, m.Version)
 		chain = chain.Extend(salt, prompt[chain.Len()*keeper.BlockBytes:]+text)
 	}
-	if d.server.opts.Keeper == nil || x.Call.Prompt == nil {
+	if d.server.opts.CacheIndex == nil || x.Call.Prompt == nil {
 		return
 	}
-	d.server.opts.Keeper.Placed(d.server.opts.Timer.Now(), Placement{
-		Upstream:  up.Name,
-		Workspace: x.Workspace.Name,
-		Chain:     chain,
-		Displaced: !decision.First,
+	d.server.opts.CacheIndex.RecordPlacement(d.server.opts.Timer.Now(), Placement{
+		Upstream:     up.Name,
+		Workspace:    x.Workspace.Name,
+		Chain:        chain,
+		NotPreferred: !decision.First,
 	})
 }
 
-// blames reports whether a failure speaks against the upstream's health.
-func blames(f *forwarder.Failure) bool {
+// indicatesFault reports whether a failure counts against the upstream's health.
+func indicatesFault(f *forwarder.Failure) bool {
 	switch f.Cause {
 	case forwarder.CauseConnect, forwarder.CauseLost, forwarder.CauseTimeout,
 		forwarder.CauseCrossed, forwarder.CauseCut, forwarder.CauseMalformed:
@@ -147,7 +147,7 @@
 	return false
 }
 
-// choose routes the request among the targets that may still be tried.
+// choose routes the request to one of the targets that may still be tried.
 func (d *delivery) choose() (int, router.Decision, bool) {
 	x := d.x
 	now := d.server.opts.Timer.Now()
@@ -165,8 +165,8 @@
 	return decision.Target, decision, true
 }
 
-// excluded marks the targets that may not be chosen: those kept for more urgent
-// classes, those tried already, and those that do not answer.
+// excluded marks the targets that may not be chosen: those reserved for more urgent
+// classes, tried before, without the right version, or with an open breaker.
 func (d *delivery) excluded(now time.Time) []bool {
 	pool := d.x.Pool
 	marks := make([]bool, len(pool.Targets))
@@ -176,16 +176,16 @@
 	}
 	for i := range pool.Upstreams {
 		up := &pool.Upstreams[i]
-		if !d.fits(up) || up.Instruments.Breaker.Open(now) {
+		if !d.hasVersion(up) || up.Instruments.Breaker.Open(now) {
 			marks[i] = true
 		}
 	}
 	return marks
 }
 
-// fits reports whether an upstream has the weight version that a continued
-// answer needs.
-func (d *delivery) fits(up *publisher.Upstream) bool {
+// hasVersion reports whether an upstream has the weight version that a continued
+// response needs.
+func (d *delivery) hasVersion(up *publisher.Upstream) bool {
 	return d.version == "" || len(up.Versions) == 0 || slices.Contains(up.Versions, d.version)
 }
 
@@ -196,7 +196,7 @@
 		Address:    up.Address,
 		Method:     x.Call.Method,
 		Path:       x.Call.Path,
-		Header:     forwardedHeader(x.request.Header),
+		Header:     selectRequestHeaders(x.request.Header),
 		Body:       x.Call.Body,
 		Nonce:      nonce(x.ID, d.outcome.Attempts),
 		FirstToken: d.server.opts.FirstToken,
@@ -205,68 +205,68 @@
 	}
 	a.Header.Set(headerWorkspace, x.Workspace.Name)
 	if x.Call.Prompt == nil {
-		return d.call(ctx, a, first)
+		return d.forwardServiceCall(ctx, a, first)
 	}
-	a.Body = d.promptFor(up, decision)
+	a.Body = d.requestBody(up, decision)
 	resp, fail := d.server.opts.Forwarder.Open(ctx, a)
 	if fail != nil {
 		return fail
 	}
 	defer resp.Close()
 	if resp.Status() != http.StatusOK {
-		return d.passOn(resp)
+		return d.relayResponse(resp)
 	}
 	if x.Call.Prompt.Stream {
-		return d.stream(resp, a.Nonce, first)
+		return d.forwardStream(resp, a.Nonce, first)
 	}
-	return d.whole(resp, a.Nonce, first)
+	return d.forwardJSON(resp, a.Nonce, first)
 }
 
-// headerWorkspace tells upstreams whose request it is.
+// headerWorkspace names the workspace of a request to an upstream.
 const headerWorkspace = "Amaranthgate-Workspace"
 
-// promptFor returns the body for one upstream.
-func (d *delivery) promptFor(up *publisher.Upstream, decision router.Decision) []byte {
+// requestBody returns the body of a prompt for an upstream.
+func (d *delivery) requestBody(up *publisher.Upstream, decision router.Decision) []byte {
 	x := d.x
-	set := *x.Call.Prompt
-	set.Priority = x.Class.Rank
-	set.Version = d.version
-	if set.Version == "" {
-		m, _ := x.Snapshot.Document.Model(set.Model)
-		set.Version = m.Version
+	req := *x.Call.Prompt
+	req.Priority = x.Class.Rank
+	req.Version = d.version
+	if req.Version == "" {
+		m, _ := x.Snapshot.Document.Model(req.Model)
+		req.Version = m.Version
 	}
-	set.CacheSalt = d.server.salt(x.Workspace.Name, set.Model, set.Version)
-	if set.Stream {
-		set.StreamOptions = &wire.StreamOptions{IncludeUsage: true}
+	req.CacheSalt = d.server.salt(x.Workspace.Name, req.Model, req.Version)
+	if req.Stream {
+		req.StreamOptions = &wire.StreamOptions{IncludeUsage: true}
 	}
 	if decision.Restore > 0 {
-		set.Restore = d.server.opts.Keeper.Segments(d.server.opts.Timer.Now(), up.Name, x.chain, decision.Restore)
-		set.RestoreWithin = int(keeper.LongestWait.Milliseconds())
+		req.Restore = d.server.opts.CacheIndex.Segments(d.server.opts.Timer.Now(), up.Name, x.chain, decision.Restore)
+		req.RestoreWithin = int(keeper.LongestWait.Milliseconds())
 	}
-	if len(d.text) > 0 {
-		d.continueFrom(&set)
+	if len(d.sentText) > 0 {
+		d.continueFrom(&req)
 	}
-	return x.body.with(set)
+	return x.body.merge(req)
 }
 
-// continueFrom changes a prompt so that the answer goes on after the text that
-// the caller has.
-func (d *delivery) continueFrom(set *wire.CompletionRequest) {
-	text, ok := forwarder.UnescapeText(string(d.text))
+// continueFrom changes a prompt so that the response continues the text that the
+// caller has.
+func (d *delivery) continueFrom(req *wire.CompletionRequest) {
+	text, ok := forwarder.UnescapeText(string(d.sentText))
 	if !ok {
 		return
 	}
-	set.MaxTokens -= d.outcome.Tokens
+	req.MaxTokens -= d.outcome.Tokens
 	if !d.x.Call.Chat {
-		set.Prompt += text
+		req.Prompt += text
 		return
 	}
-	set.Messages = append(slices.Clone(set.Messages), wire.Message{Role: "assistant", Content: text})
-	set.Continue = true
+	req.Messages = append(slices.Clone(req.Messages), wire.Message{Role: "assistant", Content: text})
+	req.Continue = true
 }
 
-// failed turns the attempts of a request without an answer into its outcome.
-func (d *delivery) failed(ctx context.Context, tries *dispatcher.Tries) Outcome {
+// failureOutcome returns the outcome of a request whose attempts all failed.
+func (d *delivery) failureOutcome(ctx context.Context, tries *dispatcher.Tries) Outcome {
 	o := d.outcome
 	o.Ran = tries.Ran()
 	if fail := tries.Last.Failure; fail != nil {
@@ -279,7 +279,7 @@
 		o.Status, o.Reason = http.StatusGatewayTimeout, ReasonDeadline
 	case dispatcher.NoUpstream:
 		o.Status, o.Reason = http.StatusServiceUnavailable, ReasonNoUpstream
-		if d.stale {
+		if d.claimExpired {
 			o.Detail = "the claim went stale"
 		}
 	case dispatcher.Unreached, dispatcher.Refused:
--- a/server/handlers.go
+++ b/server/handlers.go
@@ -17,14 +17,14 @@
 	"amaranthgate.example/amaranthgate/router"
 )
 
-// completions answers requests to generate text.
+// completions handles requests to generate text.
 func (s *Server) completions(chat bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.serve(w, r, Call{Chat: chat, Method: r.Method, Path: r.URL.Path})
 	}
 }
 
-// service passes a call on to a plain service.
+// service handles calls of plain services.
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
 	path := "/" + r.PathValue("rest")
 	if r.URL.RawQuery != "" {
@@ -33,8 +33,7 @@
 	s.serve(w, r, Call{Service: &configurer.Service{Name: r.PathValue("service")}, Method: r.Method, Path: path})
 }
 
-// resolve finds the model or the service and the pool, once the workspace is
-// proved.
+// resolve finds the model or the service and its pool.
 func (s *Server) resolve(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) Outcome {
 		if x.Call.Service != nil {
@@ -51,13 +50,13 @@
 		x.Call.Prompt = prompt
 		x.body = body
 		x.Repeatable = x.request.Header.Get(HeaderRepeatable) != "false"
-		x.Pool = poolOf(x.Snapshot.Engines, m.Name)
-		s.describe(x, m)
+		x.Pool = lookupPool(x.Snapshot.Engines, m.Name)
+		s.setRouting(x, m)
 		return next(ctx, x)
 	}
 }
 
-func poolOf(pools map[string]*publisher.Pool, name string) *publisher.Pool {
+func lookupPool(pools map[string]*publisher.Pool, name string) *publisher.Pool {
 	if p := pools[name]; p != nil {
 		return p
 	}
@@ -74,7 +73,7 @@
 	if v := x.request.Header.Get(HeaderRepeatable); v != "" {
 		x.Repeatable = v == "true"
 	}
-	x.Pool = poolOf(x.Snapshot.Services, svc.Name)
+	x.Pool = lookupPool(x.Snapshot.Services, svc.Name)
 	x.Routing = router.Request{Key: router.NameHash(x.ID), Weights: x.weights()}
 	return next(ctx, x)
 }
@@ -87,33 +86,33 @@
 	return x.Snapshot.Document.Routing
 }
 
-// keyBytes is the length of the head of a prompt by which a conversation is
-// recognised when it has no whole block.
-const keyBytes = keeper.BlockBytes
+// routingKeyBytes is the length of the prefix of a prompt that its routing key is
+// computed from.
+const routingKeyBytes = keeper.BlockBytes
 
-// describe tells routing what is known of a prompt.
-func (s *Server) describe(x *Exchange, m configurer.Model) {
+// setRouting sets the routing request of a prompt.
+func (s *Server) setRouting(x *Exchange, m configurer.Model) {
 	text := x.Call.Prompt.PromptText()
 	salt := s.salt(x.Workspace.Name, m.Name, m.Version)
 	x.chain = keeper.NewChain(salt, text)
 	x.Routing = router.Request{
-		Key:     router.NameHash(salt + text[:min(len(text), keyBytes)]),
+		Key:     router.NameHash(salt + text[:min(len(text), routingKeyBytes)]),
 		Tokens:  (len(text) + keeper.BytesPerToken - 1) / keeper.BytesPerToken,
 		Weights: x.weights(),
 	}
-	if s.opts.Keeper != nil {
-		s.opts.Keeper.Lookup(s.opts.Timer.Now(), x.Workspace.Name, x.Pool, x.chain, &x.Routing)
+	if s.opts.CacheIndex != nil {
+		s.opts.CacheIndex.Lookup(s.opts.Timer.Now(), x.Workspace.Name, x.Pool, x.chain, &x.Routing)
 	}
 }
 
 // AddressAnswer is the body of the answer to GET /v1/addresses.
 type AddressAnswer struct {
-	Addresses  []publisher.Address // Addresses has the best choice first.
-	TimeToLive duration.Duration   // TimeToLive is how long the answer may be kept.
+	Addresses  []publisher.Address // Addresses are in order of preference.
+	TimeToLive duration.Duration   // TimeToLive is how long the answer may be cached.
 }
 
-// addresses tells a caller which hosts to use: those of its availability zone
-// first, and among them a random order weighted by spare room.
+// addresses returns the hosts that a caller should use: those of its availability
+// zone first, in a random order weighted by spare capacity.
 func (s *Server) addresses(w http.ResponseWriter, r *http.Request) {
 	snap := s.opts.Publisher.Load()
 	zone := r.URL.Query().Get("AvailabilityZone")
@@ -127,8 +126,8 @@
 	}
 	s.rngMu.Unlock()
 	sort.Slice(list, func(i, j int) bool {
-		if near := list[i].AvailabilityZone == zone; near != (list[j].AvailabilityZone == zone) {
-			return near
+		if sameZone := list[i].AvailabilityZone == zone; sameZone != (list[j].AvailabilityZone == zone) {
+			return sameZone
 		}
 		return keys[list[i].Host] > keys[list[j].Host]
 	})
--- a/server/outcome.go
+++ b/server/outcome.go
@@ -13,10 +13,10 @@
 	"amaranthgate.example/amaranthgate/forwarder"
 )
 
-// Reason tells why a request was not answered. The list is closed.
+// Reason is the reason why a request was not answered, from a closed list.
 type Reason string
 
-// The reasons.
+// Reasons.
 const (
 	ReasonNone            Reason = ""
 	ReasonBadRequest      Reason = "BadRequest"
@@ -41,7 +41,7 @@
 	ReasonInternal        Reason = "Internal"
 )
 
-// titles are the short texts of problem documents.
+// titles are the titles of problem documents.
 var titles = map[Reason]string{
 	ReasonBadRequest:      "The request cannot be read",
 	ReasonTooLarge:        "The request is too large",
@@ -64,7 +64,7 @@
 	ReasonInternal:        "An internal error",
 }
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome struct {
 	Status     int
 	Reason     Reason
@@ -75,11 +75,11 @@
 	Upstream   string
 	Attempts   int
 	Prompt     int // Prompt is the number of prompt tokens.
-	Cached     int // Cached is the number of prompt tokens that the upstream did not compute.
+	Cached     int // Cached is the number of prompt tokens that the upstream had cached.
 	Tokens     int // Tokens is the number of events that carried text.
 	FirstToken time.Duration
-	complete   bool // complete tells that the upstream's answer was whole, whether or not the caller took it.
-	written    bool // written tells that the answer, or part of it, is with the caller.
+	complete   bool // complete reports whether the upstream's response was complete, even if the caller did not read it.
+	written    bool // written reports whether the response, or part of it, was sent to the caller.
 }
 
 // refuse returns an outcome for a request that did not run.
@@ -87,17 +87,17 @@
 	return Outcome{Status: status, Reason: reason, Ran: forwarder.RanNo, Detail: detail}
 }
 
-// Answered reports whether the caller got the whole answer.
+// Answered reports whether the caller got the complete response.
 func (o Outcome) Answered() bool { return o.Reason == ReasonNone }
 
-// Problem is the body of an error (RFC 9457).
+// Problem is the body of an error response (RFC 9457).
 type Problem struct {
 	Type      string        `json:"type"`
 	Title     string        `json:"title"`
 	Status    int           `json:"status"`
 	Detail    string        `json:"detail,omitempty"`
 	Reason    Reason        // Reason is from a closed list.
-	Ran       forwarder.Ran // Ran tells whether the request ran: No, Unknown or Yes.
+	Ran       forwarder.Ran // Ran says whether the request ran: No, Unknown or Yes.
 	RequestID string
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-// write sends a problem to the caller.
+// write sends the outcome as a problem document.
 func (o Outcome) write(w http.ResponseWriter, id string) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	if o.RetryAfter > 0 {
--- a/server/pools.go
+++ b/server/pools.go
@@ -13,7 +13,7 @@
 	"amaranthgate.example/amaranthgate/scheduler"
 )
 
-// poolSet holds what must outlive snapshots for each pool.
+// poolSet holds the state of pools that is kept across snapshots.
 type poolSet struct {
 	server *Server
 
@@ -21,7 +21,7 @@
 	pools map[string]*poolState
 }
 
-// poolState is the gate and the router of one pool.
+// poolState is the admission gate and the router of one pool.
 type poolState struct {
 	name   string
 	gate   *scheduler.Gate
@@ -44,7 +44,7 @@
 	if st == nil {
 		st = &poolState{name: name, router: router.New(rand.New(rand.NewPCG(p.server.opts.Seed, router.NameHash(name))))}
 		st.gate = scheduler.NewGate(func(it *scheduler.Item, granted int) bool {
-			return p.server.room(name, it.Rank, granted)
+			return p.server.hasCapacity(name, it.Rank, granted)
 		})
 		p.pools[name] = st
 	}
@@ -62,7 +62,7 @@
 	return out
 }
 
-// currentPool returns the pool of a name in the newest snapshot.
+// currentPool returns the pool with a name of poolName in the latest snapshot.
 func (s *Server) currentPool(name string) *publisher.Pool {
 	snap := s.opts.Publisher.Load()
 	const model, service = "model ", "service "
@@ -72,27 +72,26 @@
 	return snap.Engines[name[len(model):]]
 }
 
-// room reports whether a request of a rank may start: whether the pool's
-// requests leave free what is reserved for more urgent classes.
-func (s *Server) room(pool string, rank, granted int) bool {
+// hasCapacity reports whether a request of a rank may start without using slots
+// reserved for more urgent classes.
+func (s *Server) hasCapacity(pool string, rank, granted int) bool {
 	p := s.currentPool(pool)
 	if p == nil {
-		return true // forward refuses it with the right reason
+		return true // forward refuses the request
 	}
 	requests, slots := router.OccupancyWithout(p.Targets, p.ReservedFrom(rank))
 	if slots == 0 {
 		return true
 	}
-	return requests+float64(granted) < slots*overcommit
+	return requests+float64(granted) < slots*overcommitFactor
 }
 
-// overcommit is the part of the slots that may be in use before requests wait
-// here. Slightly more than the slots keeps engines busy over the lag of load
-// reports.
-const overcommit = 1.1
+// overcommitFactor is the share of slots that may be in use before requests queue.
+// More than 1 keeps engines busy in spite of the lag of load reports.
+const overcommitFactor = 1.1
 
-// leastTime returns the least time that a request takes from its start.
-func (s *Server) leastTime(x *Exchange) time.Duration {
+// minServiceTime returns a lower bound of the time that a request takes once started.
+func (s *Server) minServiceTime(x *Exchange) time.Duration {
 	if x.Call.Prompt == nil || x.Pool == nil || len(x.Pool.Targets) == 0 {
 		return 0
 	}
@@ -100,24 +99,24 @@
 	if rate <= 0 {
 		return 0
 	}
-	fresh := max(0, x.Routing.Tokens-x.Routing.Known)
-	return time.Duration(float64(fresh) / rate * float64(time.Second))
+	uncached := max(0, x.Routing.Tokens-x.Routing.Known)
+	return time.Duration(float64(uncached) / rate * float64(time.Second))
 }
 
-// retryAfter advises a caller that met a full pool: the time in which the
-// requests before it should have ended.
+// retryAfter returns the estimated time until the requests queued before x have
+// finished.
 func (s *Server) retryAfter(x *Exchange) time.Duration {
 	if x.Pool == nil || len(x.Pool.Targets) == 0 {
 		return time.Second
 	}
 	requests, slots := router.Occupancy(x.Pool.Targets)
-	hold := x.Pool.Targets[0].Meter.MeanSeconds()
+	meanSeconds := x.Pool.Targets[0].Meter.MeanSeconds()
 	waiting := float64(s.pools.get(poolName(x)).gate.Waiting())
-	seconds := hold * (1 + (max(0, requests-slots)+waiting)/max(1, slots))
+	seconds := meanSeconds * (1 + (max(0, requests-slots)+waiting)/max(1, slots))
 	return max(time.Second, time.Duration(seconds*float64(time.Second)))
 }
 
-// Waiting returns the number of waiting requests by pool.
+// Waiting returns the number of queued requests by pool.
 func (s *Server) Waiting() map[string]int {
 	out := make(map[string]int)
 	for _, p := range s.pools.all() {
--- a/server/prompt.go
+++ b/server/prompt.go
@@ -12,31 +12,31 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// defaultMaxTokens is taken when a caller gives no bound, so that a stream that
-// breaks can be continued with the right rest.
-const defaultMaxTokens = 256
+// defaultCompletionTokens is max_tokens if a caller sets none. A bound is needed to
+// continue an interrupted stream with the tokens that are left.
+const defaultCompletionTokens = 256
 
-// maxMaxTokens bounds what a caller may ask for.
-const maxMaxTokens = 1 << 20
+// maxCompletionTokens bounds max_tokens of a caller.
+const maxCompletionTokens = 1 << 20
 
-// reserved are the fields of a prompt that only the system may set.
-var reserved = []string{"priority", "cache_salt", "weight_version", "kv_restore", "kv_restore_within_ms", "kv_transfer_params", "continue_final_message"}
+// reservedFields are the fields of a prompt that only the system may set.
+var reservedFields = []string{"priority", "cache_salt", "weight_version", "kv_restore", "kv_restore_within_ms", "kv_transfer_params", "continue_final_message"}
 
-// promptBody is the body of a prompt with the fields that the system does not
-// know, which are passed on.
+// promptBody is the body of a prompt, with fields that the system does not
+// interpret and forwards.
 type promptBody struct {
 	fields map[string]json.RawMessage
 }
 
-// parsePrompt reads the body of a request to generate text. The error is meant
-// for the caller.
+// parsePrompt parses the body of a request to generate text. The error is shown to
+// the caller.
 func parsePrompt(body []byte, chat bool) (promptBody, *wire.CompletionRequest, error) {
 	var p promptBody
 	if err := json.Unmarshal(body, &p.fields); err != nil {
 		return p, nil, fmt.Errorf("the body is not a JSON object: %v", err)
 	}
 	for name := range p.fields {
-		for _, r := range reserved {
+		for _, r := range reservedFields {
 			if strings.EqualFold(name, r) {
 				return p, nil, fmt.Errorf("the field %s is reserved", r)
 			}
@@ -64,25 +64,25 @@
 		return fmt.Errorf("the field prompt is missing")
 	case !chat && len(req.Messages) > 0:
 		return fmt.Errorf("a completion has no field messages")
-	case req.MaxTokens < 0 || req.MaxTokens > maxMaxTokens:
-		return fmt.Errorf("the field max_tokens must be 1 to %d", maxMaxTokens)
+	case req.MaxTokens < 0 || req.MaxTokens > maxCompletionTokens:
+		return fmt.Errorf("the field max_tokens must be 1 to %d", maxCompletionTokens)
 	}
 	if req.MaxTokens == 0 {
-		req.MaxTokens = defaultMaxTokens
+		req.MaxTokens = defaultCompletionTokens
 	}
 	return nil
 }
 
-// with returns the body for an upstream: the caller's fields, and over them
-// those that the system sets.
-func (p promptBody) with(set wire.CompletionRequest) []byte {
+// merge returns the body for an upstream: the caller's fields, overridden by those
+// that the system sets.
+func (p promptBody) merge(req wire.CompletionRequest) []byte {
 	out := make(map[string]json.RawMessage, len(p.fields)+6)
 	for name, v := range p.fields {
-		if !replaced(name) {
+		if !isSystemField(name) {
 			out[name] = v
 		}
 	}
-	encoded, err := json.Marshal(set)
+	encoded, err := json.Marshal(req)
 	if err != nil {
 		panic("server: prompt cannot be encoded: " + err.Error())
 	}
@@ -100,9 +100,8 @@
 	return body
 }
 
-// replaced reports whether the system writes a field of its own, in whatever
-// case the caller wrote it.
-func replaced(name string) bool {
+// isSystemField reports whether the system sets a field itself, ignoring case.
+func isSystemField(name string) bool {
 	for _, own := range []string{"model", "prompt", "messages", "max_tokens", "stream", "stream_options"} {
 		if strings.EqualFold(name, own) {
 			return true
--- a/server/recorder.go
+++ b/server/recorder.go
@@ -9,39 +9,39 @@
 	"amaranthgate.example/amaranthgate/claimer"
 )
 
-// recorder keeps the first bytes of an answer while it is written.
-type recorder struct {
+// answerCapture stores a response up to a limit while it is written.
+type answerCapture struct {
 	http.ResponseWriter
-	limit  int
-	status int
-	body   []byte
-	over   bool
+	limit      int
+	status     int
+	body       []byte
+	overflowed bool
 }
 
-// Unwrap lets http.ResponseController reach the writer below.
-func (r *recorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
+// Unwrap implements the interface that http.ResponseController uses.
+func (r *answerCapture) Unwrap() http.ResponseWriter { return r.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
-func (r *recorder) WriteHeader(status int) {
+func (r *answerCapture) WriteHeader(status int) {
 	r.status = status
 	r.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (r *recorder) Write(p []byte) (int, error) {
+func (r *answerCapture) Write(p []byte) (int, error) {
 	switch {
-	case r.over:
+	case r.overflowed:
 	case len(r.body)+len(p) > r.limit:
-		r.over, r.body = true, nil
+		r.overflowed, r.body = true, nil
 	default:
 		r.body = append(r.body, p...)
 	}
 	return r.ResponseWriter.Write(p)
 }
 
-// answer returns what was written if it was whole and not too large.
-func (r *recorder) answer(o Outcome) *claimer.Answer {
-	if !o.complete || r.over || r.limit == 0 {
+// answer returns the response if it was complete and within the limit, else nil.
+func (r *answerCapture) answer(o Outcome) *claimer.Answer {
+	if !o.complete || r.overflowed || r.limit == 0 {
 		return nil
 	}
 	status := r.status
--- a/server/server.go
+++ b/server/server.go
@@ -29,47 +29,46 @@
 	"amaranthgate.example/amaranthgate/timer"
 )
 
-// Claims agrees with the other hosts on requests that may run only once.
+// Claims coordinates requests that may run only once with the other hosts.
 type Claims interface {
-	// Claim asks for a claim and waits for the verdict, at most until deadline.
+	// Claim requests a claim and waits for the verdict, at most until deadline.
 	Claim(ctx context.Context, r claimer.Request, deadline time.Time) claimer.Settled
-	// Finish records what became of a claim.
+	// Finish records the outcome of a claimed request.
 	Finish(out claimer.Outcome)
 }
 
 // Placement is a prompt that an upstream has computed.
 type Placement struct {
-	Upstream  string
-	Workspace string
-	Chain     keeper.Chain
-	Displaced bool // Displaced tells that it is not the upstream that every host would guess.
+	Upstream     string
+	Workspace    string
+	Chain        keeper.Chain
+	NotPreferred bool // NotPreferred reports whether it is not the upstream that ranks first for the prompt.
 }
 
-// Keeper knows what upstreams hold.
-type Keeper interface {
-	// Lookup fills in what is known of a prompt of a workspace.
+// CacheIndex estimates which prompts upstreams have cached.
+type CacheIndex interface {
+	// Lookup sets the fields of req about a cached prompt of a workspace.
 	Lookup(now time.Time, workspace string, pool *publisher.Pool, chain keeper.Chain, req *router.Request)
-	// Segments returns what an upstream is to restore of the first tokens of a
-	// prompt; nil if that cannot be done any more.
+	// Segments returns the segments of the first tokens of a prompt that an upstream
+	// can restore; nil if there are none any more.
 	Segments(now time.Time, upstream string, chain keeper.Chain, tokens int) []wire.SegmentRef
-	// Placed tells that an upstream has computed a prompt.
-	Placed(now time.Time, p Placement)
+	// RecordPlacement records that an upstream has computed a prompt.
+	RecordPlacement(now time.Time, p Placement)
 }
 
-// Shares moves shares of the workspaces' limits between hosts.
-type Shares interface {
-	// Urge asks for a larger share of a workspace's limit. It reports false if
-	// that was asked a moment ago; else it returns when the answer is there or
-	// did not come soon.
-	Urge(ctx context.Context, workspace string) bool
+// ShareRequester requests shares of the workspaces' limits from the other hosts.
+type ShareRequester interface {
+	// RequestShare requests a larger share of a workspace's limit. It reports false
+	// if one was requested recently, else it waits for the answer or a timeout.
+	RequestShare(ctx context.Context, workspace string) bool
 }
 
-// Recorder takes the outcomes of requests for the reports.
-type Recorder interface {
+// OutcomeRecorder records the outcomes of requests for reports.
+type OutcomeRecorder interface {
 	Record(x *Exchange, o Outcome, took time.Duration)
 }
 
-// Options set up a server. All but Shares, Keeper and Recorder are
+// Options configure a server. All but Shares, CacheIndex and Recorder are
 // required.
 type Options struct {
 	Publisher   *publisher.Publisher
@@ -77,9 +76,9 @@
 	Limiter     *limiter.Limiter
 	Budget      *retrier.Budget
 	Claims      Claims
-	Shares      Shares
-	Keeper      Keeper
-	Recorder    Recorder
+	Shares      ShareRequester
+	CacheIndex  CacheIndex
+	Recorder    OutcomeRecorder
 	Timer       timer.Service
 	Log         zerolog.Logger
 	BlockSecret []byte
@@ -93,7 +92,7 @@
 	Seed        uint64
 }
 
-// Server answers callers.
+// Server serves callers.
 type Server struct {
 	opts     Options
 	pools    poolSet
@@ -112,11 +111,11 @@
 	workspace, model, version string
 }
 
-// New returns a server. Serve it with Serve.
+// New returns a server. Call Serve to start it.
 func New(opts Options) *Server {
 	s := &Server{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 2))}
 	s.pools = poolSet{server: s, pools: make(map[string]*poolState)}
-	s.handler = dispatcher.Chain(s.forward, s.identify, s.limit, s.resolve, s.claim, s.wait)
+	s.handler = dispatcher.Chain(s.forward, s.identify, s.limit, s.resolve, s.claim, s.awaitCapacity)
 	s.http = &http.Server{
 		Handler:           s.Handler(),
 		ReadHeaderTimeout: opts.ReadTimeout,
@@ -140,7 +139,7 @@
 	return mux
 }
 
-// salt returns the root of block names, computed once.
+// salt returns the cached salt of block names.
 func (s *Server) salt(workspace, model, version string) string {
 	key := saltKey{workspace, model, version}
 	if v, ok := s.salts.Load(key); ok {
@@ -151,21 +150,20 @@
 	return v
 }
 
-// Wake lets waiting requests look for room again; call it when load reports
-// come and as time passes.
+// Wake makes queued requests check for capacity again. It must be called after load
+// reports and periodically.
 func (s *Server) Wake(now time.Time) {
 	for _, p := range s.pools.all() {
 		p.gate.Wake(now)
 	}
 }
 
-// Open returns the number of requests under way.
+// Open returns the number of open requests.
 func (s *Server) Open() int { return int(s.open.Load()) }
 
-// errTooLarge is returned for bodies over the limit.
-var errTooLarge = errors.New("server: body too large")
+var errTooLarge = errors.New("server: request body exceeds the size limit")
 
-// readBody reads a request's body within the limits on size and time.
+// readBody reads a request's body within the size limit and the read timeout.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(s.opts.ReadTimeout))
@@ -180,19 +178,19 @@
 	return body, err
 }
 
-// serve runs an exchange through the filters and answers the caller.
+// serve handles a request and answers the caller.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, c Call) {
 	s.open.Add(1)
 	defer s.open.Add(-1)
 	x := &Exchange{
-		ID:        newID(),
-		Start:     s.opts.Timer.Now(),
-		Snapshot:  s.opts.Publisher.Load(),
-		Key:       r.Header.Get(HeaderKey),
-		FirstTime: r.Header.Get(HeaderAttempt) == "1",
-		Call:      c,
-		writer:    w,
-		request:   r,
+		ID:           newID(),
+		Start:        s.opts.Timer.Now(),
+		Snapshot:     s.opts.Publisher.Load(),
+		Key:          r.Header.Get(HeaderKey),
+		FirstAttempt: r.Header.Get(HeaderAttempt) == "1",
+		Call:         c,
+		writer:       w,
+		request:      r,
 	}
 	w.Header().Set(HeaderRequestID, x.ID)
 	if s.draining.Load() {
@@ -228,17 +226,18 @@
 	return s.handler(ctx, x)
 }
 
-// maxKeyBytes bounds idempotency keys.
+// maxKeyBytes bounds the length of idempotency keys.
 const maxKeyBytes = 255
 
-// finish answers what was not answered yet and records the outcome.
+// finish sends a response if none was sent yet and records the outcome. It panics
+// with http.ErrAbortHandler to abort an interrupted response that is not a stream.
 func (s *Server) finish(w http.ResponseWriter, x *Exchange, o Outcome) {
 	took := s.opts.Timer.Now().Sub(x.Start)
 	switch {
 	case !o.written:
 		o.write(w, x.ID)
 	case o.Reason == ReasonInterrupted:
-		s.interrupt(w, x, o)
+		s.writeStreamError(w, x, o)
 	}
 	s.record(x, o, took)
 	if o.Reason == ReasonInterrupted && (x.Call.Prompt == nil || !x.Call.Prompt.Stream) {
@@ -246,9 +245,9 @@
 	}
 }
 
-// interrupt ends a stream that broke off with an error event instead of the
+// writeStreamError ends an interrupted stream with an error event in place of the
 // end marker.
-func (s *Server) interrupt(w http.ResponseWriter, x *Exchange, o Outcome) {
+func (s *Server) writeStreamError(w http.ResponseWriter, x *Exchange, o Outcome) {
 	b, err := json.Marshal(o.problem(x.ID))
 	if err != nil {
 		return
