--- a/controller/checkpoints.go
+++ b/controller/checkpoints.go
@@ -12,8 +12,8 @@
 	"amaranthgate.example/amaranthgate/leaser"
 )
 
-// checkpointsPerRetention is the number of checkpoints written in the time for
-// which the log keeps records.
+// checkpointsPerRetention is the number of checkpoints written per retention time
+// of the log.
 const checkpointsPerRetention = 4
 
 func hasCheckpoint(rec folder.Applied) bool {
@@ -25,8 +25,8 @@
 	return false
 }
 
-// tickCheckpoints writes the checkpoints that are due, of the common streams
-// under a lease and of a range of claims as its owner.
+// tickCheckpoints writes the checkpoints that are due: of the common streams as
+// holder of the Checkpoint lease, of ranges of claims as their owner.
 func (n *Node) tickCheckpoints(now time.Time) {
 	if _, ok := n.holder.Valid(now, leaseCheckpoint); ok {
 		n.checkpoint(now, configurer.StreamName)
@@ -46,9 +46,9 @@
 	if s == nil || !s.fold.Ready() || s.failing {
 		return
 	}
-	if now.Sub(s.marked) < n.opts.LogRetention/checkpointsPerRetention {
+	if now.Sub(s.lastCheckpoint) < n.opts.LogRetention/checkpointsPerRetention {
 		return
 	}
-	s.marked = now
+	s.lastCheckpoint = now
 	s.queue.Add(s.fold.Checkpoint(n.opts.LogRetention))
 }
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -11,14 +11,14 @@
 	"amaranthgate.example/amaranthgate/messenger"
 )
 
-// claimRange is this host's part as owner of one range.
+// claimRange is the state of a range of claims that this host owns.
 type claimRange struct {
 	index int
 	table *claimer.Table
 	owner *claimer.Owner
 }
 
-// Defaults before a configuration is in force.
+// Defaults until a configuration is in force.
 const (
 	defaultClaimWindow  = time.Hour
 	defaultClaimTimeout = 30 * time.Second
@@ -31,12 +31,12 @@
 	return claimer.Policy{Window: defaultClaimWindow, Timeout: defaultClaimTimeout}
 }
 
-// tickClaims takes up and lays down ranges as leases come and go.
+// tickClaims starts and stops owning ranges as their leases are acquired and lost.
 func (n *Node) tickClaims(now time.Time) {
 	for i := range n.ranges {
 		n.tickRange(now, i)
 	}
-	n.steps(now, n.claimant.Tick(now))
+	n.applySteps(now, n.claimant.Tick(now))
 }
 
 func (n *Node) tickRange(now time.Time, i int) {
@@ -51,46 +51,46 @@
 		c.owner = claimer.NewOwner(n.writer, c.table, n.claimPolicy())
 		n.ranges[i] = c
 		n.follow(now, name, c.table, n.opts.GroupCommit, func(now time.Time, rec folder.Applied) {
-			n.effects(now, c, c.owner.Applied(now, rec))
+			n.applyEffects(now, c, c.owner.Applied(now, rec))
 		})
 		return
 	case epoch == 0:
-		n.effects(now, c, c.owner.Hold(0))
+		n.applyEffects(now, c, c.owner.Hold(0))
 		delete(n.streams, name)
 		n.ranges[i] = nil
-		n.do(Unfollow{Stream: name})
+		n.emit(Unfollow{Stream: name})
 		return
 	}
 	s := n.streams[name]
 	if !s.fold.Ready() {
 		return
 	}
-	n.effects(now, c, c.owner.Hold(epoch))
-	n.effects(now, c, c.owner.Tick(now, s.fold.LastTime()))
+	n.applyEffects(now, c, c.owner.Hold(epoch))
+	n.applyEffects(now, c, c.owner.Tick(now, s.fold.LastTime()))
 }
 
-// effects carries out what an owner wants.
-func (n *Node) effects(now time.Time, c *claimRange, fx claimer.Effects) {
+// applyEffects appends and sends what an owner returned.
+func (n *Node) applyEffects(now time.Time, c *claimRange, fx claimer.Effects) {
 	if s := n.streams[claimer.StreamName(c.index)]; s != nil {
 		s.queue.Add(fx.Append...)
 	}
 	byHost := make(map[string][]claimer.Reply)
 	for _, p := range fx.Send {
 		if p.To == n.opts.Self.Host {
-			n.steps(now, n.claimant.Answer(now, p.Reply))
+			n.applySteps(now, n.claimant.Answer(now, p.Reply))
 			continue
 		}
 		byHost[p.To] = append(byHost[p.To], p.Reply)
 	}
 	for host, replies := range byHost {
-		n.do(Send{To: host, Message: &messenger.Message{Replies: replies}})
+		n.emit(Send{To: host, Message: &messenger.Message{Replies: replies}})
 	}
 }
 
-// steps carries out what the claimant wants.
-func (n *Node) steps(now time.Time, s claimer.Steps) {
+// applySteps settles claims and sends messages as the claimant returned.
+func (n *Node) applySteps(now time.Time, s claimer.Steps) {
 	for _, settled := range s.Settled {
-		n.do(Settle{Settled: settled})
+		n.emit(Settle{Settled: settled})
 	}
 	byHost := make(map[string][]claimer.Message)
 	for _, m := range s.Send {
@@ -103,20 +103,20 @@
 		}
 	}
 	for host, msgs := range byHost {
-		n.do(Send{To: host, Message: &messenger.Message{Claims: msgs}})
+		n.emit(Send{To: host, Message: &messenger.Message{Claims: msgs}})
 	}
 }
 
-// claimMessage handles a claimant's message as owner of its range.
+// claimMessage handles a claimant's message as the owner of its range.
 func (n *Node) claimMessage(now time.Time, from string, m claimer.Message) {
 	if m.Range < 0 || m.Range >= claimer.Ranges || n.ranges[m.Range] == nil {
-		return // the claimant asks again
+		return // the claimant will retry
 	}
 	c := n.ranges[m.Range]
 	if m.Request != nil && m.Request.Key.Range() == m.Range {
-		n.effects(now, c, c.owner.Request(now, from, *m.Request))
+		n.applyEffects(now, c, c.owner.Request(now, from, *m.Request))
 	}
 	if m.Outcome != nil && m.Outcome.Key.Range() == m.Range {
-		n.effects(now, c, c.owner.Outcome(from, *m.Outcome))
+		n.applyEffects(now, c, c.owner.Outcome(from, *m.Outcome))
 	}
 }
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -11,41 +11,41 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// publish appends a change of the configuration. What became of it is known
-// only when it is read back.
+// publish appends a change of the configuration. Its result is known once the
+// change is read back from the log.
 func (n *Node) publish(d configurer.Delta) {
 	if r, ok := n.config.Result(d.ID); ok {
-		n.do(Published{Result: r})
+		n.emit(Published{Result: r})
 		return
 	}
-	if n.awaited[d.ID] {
+	if n.pendingChanges[d.ID] {
 		return
 	}
-	n.awaited[d.ID] = true
+	n.pendingChanges[d.ID] = true
 	n.streams[configurer.StreamName].queue.Add(folder.NewEntry(configurer.KindDelta, d))
 }
 
-// configurationApplied puts what the fold made of a record into force.
+// configurationApplied handles a record that was folded into the configuration.
 func (n *Node) configurationApplied(now time.Time, rec folder.Applied) {
 	for _, e := range rec.Entries {
 		var d configurer.Delta
 		if e.Kind != configurer.KindDelta || !e.Decode(&d) {
 			continue
 		}
-		if r, ok := n.config.Result(d.ID); ok && n.awaited[d.ID] {
-			delete(n.awaited, d.ID)
-			n.do(Published{Result: r})
+		if r, ok := n.config.Result(d.ID); ok && n.pendingChanges[d.ID] {
+			delete(n.pendingChanges, d.ID)
+			n.emit(Published{Result: r})
 		}
 	}
 	n.configurationChanged(now)
 }
 
 func (n *Node) configurationChanged(now time.Time) {
-	n.viewAt = time.Time{} // a new configuration comes into force at once
+	n.viewAt = time.Time{} // apply a new configuration without delay
 	n.viewDirty = true
 	revision := n.config.Revision()
-	if r, news := n.hosts.Say(func(r *tracker.HostRecord) { r.Revision = revision }); news {
-		n.spreadHosts("", []tracker.HostRecord{r})
+	if r, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.Revision = revision }); changed {
+		n.sendHosts("", []tracker.HostRecord{r})
 	}
 	n.claimant.SetPolicy(n.claimPolicy())
 	for _, c := range n.ranges {
@@ -65,5 +65,5 @@
 	n.setLimits(now)
 }
 
-// Configuration returns the fold of the configuration.
+// Configuration returns the folded configuration.
 func (n *Node) Configuration() *configurer.State { return n.config }
--- a/controller/doc.go
+++ b/controller/doc.go
@@ -1,14 +1,13 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package controller is the control plane of one host: a set of controllers
-// over one state, driven by events.
+// Package controller implements the control plane of one host: controllers that
+// share one state and are driven by events.
 //
-// Node is pure. Handle takes an event and the time and returns actions; it
-// does no I/O, reads no clock, starts no goroutine and draws no random number
-// but from its seed. The same code runs in the binary, where package runner
-// turns sockets into events, and in tests, which drive several nodes through
-// schedules of faults without a socket or a clock.
+// Handle of Node takes an event and the time and returns actions. A node does no
+// I/O, reads no clock, starts no goroutine and draws no random number. Package
+// runner connects it to sockets and timers; tests drive several nodes through
+// schedules of faults in virtual time.
 //
 // # Usage
 //
@@ -23,10 +22,12 @@
 // # Controllers
 //
 //   - configuration.go: the document in force and publishing changes.
-//   - leases.go: which duties this host wants and holds.
-//   - claims.go: at most once, as owner of ranges and as claimant.
+//   - leases.go: the leases that this host wants and holds.
+//   - claims.go: at-most-once execution, as owner of ranges and as claimant.
 //   - membership.go: hosts and upstreams, heartbeats and gossip.
 //   - limits.go: shares of the workspaces' limits.
-//   - checkpoints.go: snapshots of the streams before their records expire.
-//   - view.go: the snapshot for the goroutines that carry traffic.
+//   - orders.go: orders to upstreams and the rollout of weight versions.
+//   - stores.go: the KV cache stores of upstreams.
+//   - checkpoints.go: checkpoints of the streams before their records expire.
+//   - view.go: the snapshot for the request path.
 package controller
--- a/controller/dump.go
+++ b/controller/dump.go
@@ -12,10 +12,10 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// DumpVersion is the version of the form of Dump.
+// DumpVersion is the version of the format of Dump.
 const DumpVersion = 1
 
-// Dump is the state of a node for people who look for a fault.
+// Dump is the state of a node for debugging.
 type Dump struct {
 	Version   int
 	Writer    string
@@ -39,7 +39,7 @@
 	Next    uint64
 	Ready   bool
 	Failing bool
-	Queued  int // Queued is the number of entries that are not read back.
+	Queued  int // Queued is the number of entries not yet read back.
 	Appends uint64
 }
 
@@ -52,25 +52,25 @@
 	Waiting int
 }
 
-// ClaimDump is the state of this host's own claims.
+// ClaimDump is the state of this host's claims as claimant.
 type ClaimDump struct {
 	Open     int
-	Outcomes int // Outcomes is the number of outcomes that are not acknowledged.
+	Outcomes int // Outcomes is the number of unacknowledged outcomes.
 }
 
-// UpstreamDump is what is known of one upstream.
+// UpstreamDump is the state of one upstream.
 type UpstreamDump struct {
 	tracker.UpstreamRecord
 	Load     tracker.LoadDigest
 	LoadAge  time.Duration
 	InFlight int
-	Open     bool // Open tells that the breaker keeps requests away.
+	Open     bool // Open reports whether the circuit breaker is open.
 }
 
-// LimitDump is the state of shared limits.
+// LimitDump is the state of limits that are shared by hosts.
 type LimitDump struct {
 	Hosts   int
-	Divider uint64 // Divider is the epoch under which this host divides limits; 0 if it does not.
+	Divider uint64 // Divider is the epoch in which this host divides limits; 0 if it does not.
 }
 
 // Dump returns the state of the node.
--- a/controller/engines_test.go
+++ b/controller/engines_test.go
@@ -11,33 +11,34 @@
 	"amaranthgate.example/amaranthgate/internal/wire"
 )
 
-// simEngine is an engine of a simulation. Odd ones ignore fencing numbers.
+// simEngine is a simulated engine.
 type simEngine struct {
-	checks  bool
-	fencing uint64
-	models  []wire.LoadedModel
+	checksFencing bool
+	fencing       uint64
+	models        []wire.LoadedModel
 }
 
 const (
-	simLoadTime  = 5 * time.Second
-	simWatchTime = 500 * time.Millisecond
+	simLoadTime         = 5 * time.Second
+	simLoadPollInterval = 500 * time.Millisecond
 )
 
-// addEngines puts engines into the first document.
+// addEngines adds engines to the first document. Every second one ignores fencing
+// numbers.
 func (s *simulation) addEngines(n int) {
 	for i := range n {
-		s.engines[fmt.Sprintf("engine-%d", i)] = &simEngine{checks: i%2 == 0, models: []wire.LoadedModel{{Name: "m", Version: "v1"}}}
+		s.engines[fmt.Sprintf("engine-%d", i)] = &simEngine{checksFencing: i%2 == 0, models: []wire.LoadedModel{{Name: "m", Version: "v1"}}}
 	}
 }
 
-// upstreams returns the engines as the document names them.
+// upstreams returns the engines as upstreams of the document.
 func (s *simulation) upstreams() []configurer.Upstream {
 	var out []configurer.Upstream
 	for i := range len(s.engines) {
 		name := fmt.Sprintf("engine-%d", i)
 		out = append(out, configurer.Upstream{
 			Name: name, Kind: configurer.KindEngine, Address: fmt.Sprintf("127.0.0.1:%d", 9000+i), AvailabilityZone: "zone",
-			Models: []string{"m"}, WeightStore: "store", Slots: 8, ChecksFencing: s.engines[name].checks,
+			Models: []string{"m"}, WeightStore: "store", Slots: 8, ChecksFencing: s.engines[name].checksFencing,
 			PrefillRate: 1000, LinkRate: 1e9, BytesPerToken: 1000,
 		})
 	}
@@ -47,35 +48,35 @@
 // publishNext publishes a model's next version.
 func (s *simulation) publishNext(host, id, version string) {
 	h := s.hosts[host]
-	h.in(h.life, func() {
+	h.runIn(h.generation, func() {
 		cfg := h.node.Configuration()
 		next := *cfg.Document()
 		next.Models = []configurer.Model{{Name: "m", Version: next.Models[0].Version, Next: version}}
 		d, err := configurer.NewDelta(id, host, cfg.Revision(), cfg.Document(), &next)
 		if err != nil {
-			s.broken("delta: %v", err)
+			s.violation("delta: %v", err)
 			return
 		}
 		h.handle(ChangePublished{Delta: d})
 	})
 }
 
-// watch asks the watched engines for their load.
-func (h *simHost) watch(life int) {
-	h.sim.after(simWatchTime, func() {
-		h.in(life, func() {
+// pollLoads polls the load of the watched engines.
+func (h *simHost) pollLoads(generation int) {
+	h.sim.after(simLoadPollInterval, func() {
+		h.runIn(generation, func() {
 			for _, u := range h.node.Watched() {
 				e := h.sim.engines[u.Name]
 				rep := wire.LoadReport{Incarnation: 1, State: wire.LoadLive, Models: append([]wire.LoadedModel(nil), e.models...)}
 				h.later(2*simHop, func() { h.handle(LoadReported{Upstream: u.Name, Report: &rep}) })
 			}
-			h.watch(life)
+			h.pollLoads(generation)
 		})
 	})
 }
 
-// issue delivers an order, as the process does: not after its lease has ended.
-func (h *simHost) issue(a Issue) {
+// issue delivers an order unless its lease has expired.
+func (h *simHost) issue(a SendOrder) {
 	s := h.sim
 	h.later(simHop, func() {
 		if !s.now.Before(a.Until) {
@@ -89,7 +90,7 @@
 }
 
 func (e *simEngine) order(s *simulation, o wire.Order) wire.OrderAnswer {
-	if e.checks && o.Fencing < e.fencing {
+	if e.checksFencing && o.Fencing < e.fencing {
 		return wire.OrderAnswer{Fencing: e.fencing}
 	}
 	e.fencing = max(e.fencing, o.Fencing)
@@ -113,7 +114,7 @@
 	return wire.OrderAnswer{Accepted: true, Fencing: e.fencing}
 }
 
-// countLoads checks that no more engines load at once than the document says.
+// countLoads checks that no more engines load concurrently than the document allows.
 func (s *simulation) countLoads() {
 	n := 0
 	for _, e := range s.engines {
@@ -123,8 +124,8 @@
 			}
 		}
 	}
-	s.peak = max(s.peak, n)
+	s.peakLoads = max(s.peakLoads, n)
 	if n > simDocument().Loads.AtOnce {
-		s.broken("%d engines load at once", n)
+		s.violation("%d engines load concurrently", n)
 	}
 }
--- a/controller/event.go
+++ b/controller/event.go
@@ -17,10 +17,10 @@
 	"amaranthgate.example/amaranthgate/router"
 )
 
-// Event is something that happened. The types in this file are all events.
+// Event is an input of a node.
 type Event interface{ event() }
 
-// Tick tells that time has passed.
+// Tick lets the node do what is due by time.
 type Tick struct{}
 
 // LogRead is a page that was read from a stream.
@@ -30,19 +30,19 @@
 	Began  time.Time // Began is when the read was sent.
 }
 
-// LogFailed tells that a stream could not be read.
+// LogFailed reports that a stream could not be read.
 type LogFailed struct {
 	Stream string
 }
 
-// AppendDone is the answer to an Append, or the lack of one.
+// AppendDone is the result of an Append.
 type AppendDone struct {
 	Stream   string
 	Sequence uint64
 	Err      error
 }
 
-// HostsListed is an answer of the platform's host list.
+// HostsListed is a response of the platform's host list.
 type HostsListed struct {
 	Answer connector.HostListAnswer
 }
@@ -53,78 +53,78 @@
 	Message *messenger.Message
 }
 
-// PeerUp tells that a connection to another host stands.
+// PeerUp reports that a connection to another host was established.
 type PeerUp struct {
 	Host string
 }
 
-// LoadReported is an upstream's answer to a question for its load; Report is
-// nil if there was none.
+// LoadReported is the result of polling an upstream's load; Report is nil if that
+// failed.
 type LoadReported struct {
 	Upstream string
 	Report   *wire.LoadReport
-	Mark     router.Mark // Mark is what this host had sent when it asked.
+	Mark     router.Mark // Mark is the reading of this host's meter when the poll was sent.
 }
 
-// ClaimStarted asks for a claim.
+// ClaimStarted starts a claim. Settle must follow.
 type ClaimStarted struct {
 	Request  claimer.Request
 	Deadline time.Time
 }
 
-// ClaimAbandoned tells that a claim's caller does not wait any longer.
+// ClaimAbandoned reports that the caller of a claim has stopped waiting.
 type ClaimAbandoned struct {
 	Nonce string
 }
 
-// ClaimFinished tells what became of a claim.
+// ClaimFinished reports the outcome of a claimed request.
 type ClaimFinished struct {
 	Outcome claimer.Outcome
 }
 
-// ChangePublished asks to publish a change of the configuration.
+// ChangePublished publishes a change of the configuration.
 type ChangePublished struct {
 	Delta configurer.Delta
 }
 
-// UsageRead is what the workspaces have asked of this host.
+// UsageRead is the workspaces' usage of their limits at this host.
 type UsageRead struct {
 	Usage    []limiter.Usage
 	Interval time.Duration
 }
 
-// EntriesReported are entries for the reports' stream.
+// EntriesReported appends entries to the stream of reports.
 type EntriesReported struct {
 	Entries []folder.Entry
 }
 
-// CacheRead is an upstream's answer about its cache: its events, or all its
-// segments if the events before were lost. Both are nil if there was none.
+// CacheRead is the response to a CacheRequest: events, or all segments. Both are
+// nil if the request failed.
 type CacheRead struct {
 	Upstream string
 	Events   *wire.CacheEvents
 	Segments *wire.KeptSegments
 }
 
-// OrderDone is the answer to an order; Answer is nil if there was none.
+// OrderDone is the result of a SendOrder; Answer is nil if that failed.
 type OrderDone struct {
 	Upstream string
 	Order    wire.Order
 	Answer   *wire.OrderAnswer
 }
 
-// TurnEnded tells that an upstream has computed a prompt.
+// TurnEnded reports that an upstream has computed a turn of a conversation.
 type TurnEnded struct {
 	Turn keeper.Turn
 }
 
-// PlacementMade tells that a prompt went to an upstream that other hosts would
-// not guess.
+// PlacementMade reports that a prompt went to an upstream that does not rank first
+// for it.
 type PlacementMade struct {
 	Placement messenger.Placement
 }
 
-// Leave asks the host to give up its duties and to leave.
+// Leave makes the node release its leases and leave.
 type Leave struct{}
 
 func (Tick) event()            {}
@@ -147,39 +147,38 @@
 func (PlacementMade) event()   {}
 func (Leave) event()           {}
 
-// Action is something that a node wants done. The types below are all actions.
+// Action is an output of a node, to be executed by its caller.
 type Action interface{ action() }
 
-// Append adds a record to a stream. AppendDone must follow.
+// Append appends a record to a stream. AppendDone must follow.
 type Append struct {
 	Stream string
 	Record folder.Record
 }
 
-// Send sends a message to another host, if there is a connection or one can be
-// made.
+// Send sends a message to another host, on a best-effort basis.
 type Send struct {
 	To      string
 	Message *messenger.Message
 }
 
-// Follow begins to read a stream from an offset on.
+// Follow starts reading a stream at an offset.
 type Follow struct {
 	Stream string
 	From   uint64
 }
 
-// Unfollow ends the reading of a stream.
+// Unfollow stops reading a stream.
 type Unfollow struct {
 	Stream string
 }
 
-// Settle ends a claim's wait.
+// Settle returns the verdict of a claim to its caller.
 type Settle struct {
 	Settled claimer.Settled
 }
 
-// Published ends a publisher's wait.
+// Published returns the result of a change to its publisher.
 type Published struct {
 	Result configurer.Result
 }
@@ -190,34 +189,34 @@
 	Limit     limiter.Limit
 }
 
-// Issue gives an order to an upstream, but not after Until: the lease has then
-// run out. OrderDone must follow.
-type Issue struct {
+// SendOrder sends an order to an upstream, but not after Until, when the lease
+// expires. OrderDone must follow.
+type SendOrder struct {
 	Upstream string
 	Address  string
 	Order    wire.Order
 	Until    time.Time
 }
 
-// KeptChanged tells what may be offered of an upstream's store.
-type KeptChanged struct {
+// CacheChanged updates the segments that an upstream can restore from its store.
+type CacheChanged struct {
 	Upstream string
-	Full     bool // Full tells that Changes replace all that was known.
+	Full     bool // Full reports whether Changes replace all segments.
 	Changes  []keeper.Change
-	Until    time.Time // Until is how long the segments may be offered.
+	Until    time.Time // Until is when the segments expire unless refreshed.
 }
 
-// PlacementsLearned are placements that other hosts told.
+// PlacementsLearned are placements that other hosts reported.
 type PlacementsLearned struct {
 	Placements []messenger.Placement
 }
 
-// UpstreamRestarted tells that all that an upstream held is gone.
+// UpstreamRestarted reports that an upstream has lost all that it had cached.
 type UpstreamRestarted struct {
 	Upstream string
 }
 
-// ViewChanged tells that View returns something new.
+// ViewChanged reports that View returns a new snapshot.
 type ViewChanged struct{}
 
 func (Append) action()            {}
@@ -227,8 +226,8 @@
 func (Settle) action()            {}
 func (Published) action()         {}
 func (SetLimit) action()          {}
-func (Issue) action()             {}
-func (KeptChanged) action()       {}
+func (SendOrder) action()         {}
+func (CacheChanged) action()      {}
 func (PlacementsLearned) action() {}
 func (UpstreamRestarted) action() {}
 func (ViewChanged) action()       {}
--- a/controller/leases.go
+++ b/controller/leases.go
@@ -14,15 +14,15 @@
 
 // Names of leases.
 const (
-	leaseCheckpoint = "Checkpoint" // leaseCheckpoint writes the checkpoints of the common streams.
-	leaseLimits     = "Limits"     // leaseLimits divides the workspaces' limits.
-	leaseRollout    = "Rollout"    // leaseRollout puts loaded weight versions into force.
+	leaseCheckpoint = "Checkpoint" // held to write checkpoints of the common streams
+	leaseLimits     = "Limits"     // held to divide the workspaces' limits
+	leaseRollout    = "Rollout"    // held to promote loaded weight versions
 )
 
-// duties are the names of all leases that somebody must hold.
-var duties = allDuties()
+// roleLeases are the names of all leases that some host must hold.
+var roleLeases = roleLeaseNames()
 
-func allDuties() []string {
+func roleLeaseNames() []string {
 	names := []string{leaseCheckpoint, leaseLimits, leaseRollout}
 	for r := range claimer.Ranges {
 		names = append(names, claimer.LeaseName(r))
@@ -41,53 +41,54 @@
 	if n.readyAt.IsZero() {
 		n.readyAt = now
 	}
-	if now.Sub(n.readyAt) < settleIn {
+	if now.Sub(n.readyAt) < joinDelay {
 		return
 	}
 	live := n.hosts.Live()
 	var wanted []leaser.Wanted
-	for _, name := range slices.Concat(duties, n.slotsWanted(now)) {
+	for _, name := range slices.Concat(roleLeases, n.neededSlots(now)) {
 		if place := tracker.Place(live, n.opts.Self.Host, name); place >= 0 {
 			wanted = append(wanted, leaser.Wanted{Name: name, Rank: place})
 		}
 	}
 	s.queue.Add(n.holder.Tick(now, wanted)...)
-	s.queue.Add(n.holder.Yield(append(n.misplaced(now, live), n.slotsDone(now)...))...)
+	s.queue.Add(n.holder.Yield(append(n.outrankedLeases(now, live), n.unneededSlots(now)...))...)
 }
 
-// Times of the spread of duties.
+// Times of the distribution of leases over hosts.
 const (
-	settleIn   = time.Second      // settleIn is how long a host that became ready gets to know the others before it acquires.
-	yieldAfter = 20 * time.Second // yieldAfter is how long a better candidate must be live before a lease is handed over.
+	joinDelay  = time.Second      // from being ready to acquiring leases, to discover other hosts
+	yieldDelay = 20 * time.Second // how long another host must rank higher before a lease is yielded
 )
 
-// misplaced returns the leases held here for which another host has been the
-// better candidate for a while. Without this the first host to start would keep
-// every duty.
-func (n *Node) misplaced(now time.Time, live []string) []string {
+// outrankedLeases returns the leases held here for which another host has ranked
+// higher for yieldDelay. Without this the first host to start would keep all
+// leases.
+func (n *Node) outrankedLeases(now time.Time, live []string) []string {
 	var out []string
 	for _, name := range n.holder.Held() {
 		if isSlot(name) {
-			continue // given up when the load is done
+			continue // released when the load is done
 		}
 		if tracker.Place(live, n.opts.Self.Host, name) <= 0 {
-			delete(n.better, name)
+			delete(n.outrankedSince, name)
 			continue
 		}
-		since, ok := n.better[name]
+		since, ok := n.outrankedSince[name]
 		if !ok {
-			n.better[name] = now
+			n.outrankedSince[name] = now
 			continue
 		}
-		if now.Sub(since) >= yieldAfter {
-			delete(n.better, name)
+		if now.Sub(since) >= yieldDelay {
+			delete(n.outrankedSince, name)
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// holderOf returns the host that holds a lease according to the log, or "".
+// holderOf returns the host that holds a lease according to the log, or "" if there
+// is none.
 func (n *Node) holderOf(lease string) string {
 	writer := n.leases.Lookup(lease).Holder
 	for i := range len(writer) {
--- a/controller/limits.go
+++ b/controller/limits.go
@@ -12,49 +12,49 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// usageRead asks the divider for shares that fit the demand here.
+// usageRead sends the demand at this host to the divider.
 func (n *Node) usageRead(now time.Time, ev UsageRead) {
-	dem := n.shares.Demand(now, ev.Usage, ev.Interval)
-	if len(dem.Workspaces) == 0 {
+	demand := n.shares.Demand(now, ev.Usage, ev.Interval)
+	if len(demand.Workspaces) == 0 {
 		return
 	}
 	switch to := n.holderOf(leaseLimits); to {
 	case "":
 	case n.opts.Self.Host:
-		n.demanded(now, to, dem)
+		n.handleDemand(now, to, demand)
 	default:
-		n.do(Send{To: to, Message: &messenger.Message{Demand: &dem}})
+		n.emit(Send{To: to, Message: &messenger.Message{Demand: &demand}})
 	}
 }
 
-// demanded answers another host's demand, if this one holds the lease.
-func (n *Node) demanded(now time.Time, from string, dem limiter.Demand) {
+// handleDemand grants shares for a host's demand if this host is the divider.
+func (n *Node) handleDemand(now time.Time, from string, demand limiter.Demand) {
 	if n.tickDivider(now); n.divider == nil {
 		return
 	}
-	g := n.divider.Grant(now, from, dem)
+	g := n.divider.Grant(now, from, demand)
 	if from == n.opts.Self.Host {
-		n.granted(now, g)
+		n.applyGrants(now, g)
 		return
 	}
-	n.do(Send{To: from, Message: &messenger.Message{Grants: &g}})
+	n.emit(Send{To: from, Message: &messenger.Message{Grants: &g}})
 }
 
-func (n *Node) granted(now time.Time, g limiter.Grants) {
+func (n *Node) applyGrants(now time.Time, g limiter.Grants) {
 	for _, w := range n.shares.Take(g) {
 		n.setLimit(now, w)
 	}
 }
 
-// tickDivider begins to divide when the lease is taken, not when the first
-// demand comes: by then the grants of the host before it may have ended.
+// tickDivider creates the divider when the lease is acquired. Its start bounds when
+// grants of the previous divider have expired, so it must not wait for a demand.
 func (n *Node) tickDivider(now time.Time) {
 	epoch, ok := n.holder.Valid(now, leaseLimits)
 	switch {
 	case !ok:
 		n.divider = nil
 	case n.divider == nil || n.divider.Epoch() != epoch:
-		n.divider = limiter.NewDivider(now, epoch, grantLife)
+		n.divider = limiter.NewDivider(now, epoch, grantTTL)
 	}
 }
 
@@ -65,10 +65,10 @@
 	}
 }
 
-// setLimits sets the limits of all workspaces at this host.
+// setLimits updates the limits of all workspaces at this host.
 func (n *Node) setLimits(now time.Time) {
 	for i := range n.config.Document().Workspaces {
-		n.limitOf(now, &n.config.Document().Workspaces[i])
+		n.applyLimit(now, &n.config.Document().Workspaces[i])
 	}
 }
 
@@ -79,20 +79,20 @@
 	}
 	for i := range doc.Workspaces {
 		if doc.Workspaces[i].Name == workspace {
-			n.limitOf(now, &doc.Workspaces[i])
+			n.applyLimit(now, &doc.Workspaces[i])
 			return
 		}
 	}
 }
 
-func (n *Node) limitOf(now time.Time, w *configurer.Workspace) {
-	whole := limiter.Limit{Rate: w.RequestsPerSecond, Burst: w.Burst, Concurrency: float64(w.Concurrency)}
+func (n *Node) applyLimit(now time.Time, w *configurer.Workspace) {
+	limit := limiter.Limit{Rate: w.RequestsPerSecond, Burst: w.Burst, Concurrency: float64(w.Concurrency)}
 	share := n.shares.Share(now, w.Name, n.hostCount())
-	n.do(SetLimit{Workspace: w.Name, Limit: limiter.Local(whole, share)})
+	n.emit(SetLimit{Workspace: w.Name, Limit: limiter.Local(limit, share)})
 }
 
-// hostCount returns the number of hosts over which the floor is split: all
-// that may be serving, seen or not.
+// hostCount returns the number of hosts over which the minimum share is split: all
+// that may be serving, even if suspected.
 func (n *Node) hostCount() int {
 	count := 0
 	for _, r := range n.hosts.All() {
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -17,52 +17,53 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// loadMark is what this host had sent to an upstream when its newest load
-// report was made.
+// loadMark is the reading of this host's meter of an upstream at its last load
+// report.
 type loadMark struct {
 	mark router.Mark
 	at   time.Time
 }
 
-// beat sends heartbeats and looks for silent hosts.
-func (n *Node) beat(now time.Time) {
-	if now.Sub(n.lastBeat) < n.opts.Heartbeat {
+// heartbeat sends heartbeats to the neighbours and updates the states of silent
+// hosts.
+func (n *Node) heartbeat(now time.Time) {
+	if now.Sub(n.lastHeartbeat) < n.opts.Heartbeat {
 		return
 	}
-	n.lastBeat = now
-	if news := n.hosts.Tick(now); len(news) > 0 {
-		n.spreadHosts("", news)
+	n.lastHeartbeat = now
+	if changed := n.hosts.Tick(now); len(changed) > 0 {
+		n.sendHosts("", changed)
 		n.viewDirty = true
 	}
 	m := &messenger.Message{Digest: n.hosts.Digest()}
 	for _, h := range n.hosts.Neighbours() {
-		n.do(Send{To: h, Message: m})
+		n.emit(Send{To: h, Message: m})
 	}
 }
 
-// spreadHosts passes host records on to all neighbours but the one that they
-// came from.
-func (n *Node) spreadHosts(from string, news []tracker.HostRecord) {
-	n.spread(from, &messenger.Message{Hosts: news})
+// sendHosts relays host records to all neighbours but the one that sent them.
+func (n *Node) sendHosts(from string, records []tracker.HostRecord) {
+	n.sendNeighbours(from, &messenger.Message{Hosts: records})
 }
 
-func (n *Node) spread(from string, m *messenger.Message) {
+// sendNeighbours sends a message to all neighbours but from.
+func (n *Node) sendNeighbours(from string, m *messenger.Message) {
 	for _, h := range n.hosts.Neighbours() {
 		if h != from {
-			n.do(Send{To: h, Message: m})
+			n.emit(Send{To: h, Message: m})
 		}
 	}
 }
 
 func (n *Node) peerUp(now time.Time, host string) {
 	n.hosts.Heard(now, host)
-	n.sendFull(now, host)
+	n.sendFullSync(now, host)
 }
 
-// sendFull sends all that is known of hosts and upstreams to one host.
-func (n *Node) sendFull(now time.Time, host string) {
-	n.lastFull[host] = now
-	n.do(Send{To: host, Message: &messenger.Message{
+// sendFullSync sends all records of hosts and upstreams to one host.
+func (n *Node) sendFullSync(now time.Time, host string) {
+	n.lastFullSync[host] = now
+	n.emit(Send{To: host, Message: &messenger.Message{
 		Full:      true,
 		Digest:    n.hosts.Digest(),
 		Hosts:     n.hosts.All(),
@@ -73,11 +74,11 @@
 
 func (n *Node) peerMessage(now time.Time, ev PeerMessage) {
 	n.hosts.Heard(now, ev.From)
-	n.tellSuspect(now, ev.From)
+	n.notifySuspect(now, ev.From)
 	m := ev.Message
 	if m.Digest != 0 && !m.Full && !slices.Contains(n.hosts.Neighbours(), ev.From) {
-		// Whoever counts this host among its neighbours must hear from it.
-		n.do(Send{To: ev.From, Message: &messenger.Message{Echo: true}})
+		// A host that has this one as a neighbour expects heartbeats from it.
+		n.emit(Send{To: ev.From, Message: &messenger.Message{Echo: true}})
 	}
 	n.mergeHosts(now, ev.From, m.Hosts)
 	n.mergeUpstreams(ev.From, m.Upstreams)
@@ -86,87 +87,87 @@
 		n.claimMessage(now, ev.From, c)
 	}
 	for _, r := range m.Replies {
-		n.steps(now, n.claimant.Answer(now, r))
+		n.applySteps(now, n.claimant.Answer(now, r))
 	}
-	n.answerWants(ev.From, m.Wants)
+	n.sendSnapshots(ev.From, m.Wants)
 	for _, r := range m.Records {
-		n.recordTold(now, r)
+		n.applyRelayedRecord(now, r)
 	}
 	if m.Snapshot != nil {
-		n.adopt(now, *m.Snapshot)
+		n.adoptSnapshot(now, *m.Snapshot)
 	}
 	if m.Demand != nil {
-		n.demanded(now, ev.From, *m.Demand)
+		n.handleDemand(now, ev.From, *m.Demand)
 	}
 	if m.Grants != nil {
-		n.granted(now, *m.Grants)
+		n.applyGrants(now, *m.Grants)
 	}
 	for _, t := range m.Turns {
 		n.turnEnded(now, ev.From, t)
 	}
 	if m.KeptAsk != nil {
-		n.keptAsked(now, ev.From, *m.KeptAsk)
+		n.cacheQueried(now, ev.From, *m.KeptAsk)
 	}
 	if m.KeptTell != nil {
-		n.keptTold(now, *m.KeptTell)
+		n.cacheReplied(now, *m.KeptTell)
 	}
 	if m.Sends != nil {
-		n.peerSends(now, ev.From, m.Sends)
+		n.inFlightReceived(now, ev.From, m.Sends)
 	}
 	if len(m.Placed) > 0 {
-		n.do(PlacementsLearned{Placements: m.Placed})
+		n.emit(PlacementsLearned{Placements: m.Placed})
 	}
-	if m.Digest != 0 && m.Digest != n.hosts.Digest() && now.Sub(n.lastFull[ev.From]) > fullInterval {
-		n.sendFull(now, ev.From)
+	if m.Digest != 0 && m.Digest != n.hosts.Digest() && now.Sub(n.lastFullSync[ev.From]) > fullSyncInterval {
+		n.sendFullSync(now, ev.From)
 	}
 }
 
-// tellSuspect tells a host that speaks although it is suspected what is said of
-// it, so that it can refute that.
-func (n *Node) tellSuspect(now time.Time, host string) {
+// notifySuspect sends a host that is suspected or gone its own record, so that it
+// can refute the suspicion.
+func (n *Node) notifySuspect(now time.Time, host string) {
 	r, ok := n.hosts.Lookup(host)
 	if !ok || r.State != tracker.HostSuspect && r.State != tracker.HostGone {
 		return
 	}
-	if now.Sub(n.lastTold[host]) < n.opts.Heartbeat {
+	if now.Sub(n.lastSuspectNotice[host]) < n.opts.Heartbeat {
 		return
 	}
-	n.lastTold[host] = now
-	n.do(Send{To: host, Message: &messenger.Message{Hosts: []tracker.HostRecord{r}}})
+	n.lastSuspectNotice[host] = now
+	n.emit(Send{To: host, Message: &messenger.Message{Hosts: []tracker.HostRecord{r}}})
 }
 
 func (n *Node) mergeHosts(now time.Time, from string, records []tracker.HostRecord) {
-	var news []tracker.HostRecord
+	var changed []tracker.HostRecord
 	for _, r := range records {
-		news = append(news, n.hosts.Merge(now, r)...)
+		changed = append(changed, n.hosts.Merge(now, r)...)
 	}
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return
 	}
 	n.viewDirty = true
-	n.spreadHosts(from, news)
+	n.sendHosts(from, changed)
 }
 
 func (n *Node) mergeUpstreams(from string, records []tracker.UpstreamRecord) {
-	var news []tracker.UpstreamRecord
+	var changed []tracker.UpstreamRecord
 	for _, r := range records {
 		if n.upstreams.Merge(r) {
-			n.restarted(r.Upstream, r.Incarnation)
-			news = append(news, r)
+			n.updateIncarnation(r.Upstream, r.Incarnation)
+			changed = append(changed, r)
 		}
 	}
-	n.spreadUpstreams(from, news)
+	n.sendUpstreams(from, changed)
 }
 
-// spreadUpstreams passes news of upstreams on and puts them into force at
-// once: an upstream that leaves must get no new work.
-func (n *Node) spreadUpstreams(from string, news []tracker.UpstreamRecord) {
-	if len(news) == 0 {
+// sendUpstreams relays changed upstream records and makes the next view due at
+// once, because a leaving upstream must get no new requests.
+func (n *Node) sendUpstreams(from string, records []tracker.UpstreamRecord) {
+	if len(records) == 0 {
 		return
 	}
 	n.viewAt = time.Time{}
 	n.viewDirty = true
-	n.spread(from, &messenger.Message{Upstreams: news})
+	n.sendNeighbours(from, &messenger.Message{Upstreams: records})
 }
 
 func (n *Node) mergeLoads(now time.Time, loads []tracker.LoadDigest) {
@@ -174,97 +175,96 @@
 		if !n.upstreams.MergeLoad(now, l) {
 			continue
 		}
-		n.marks[l.Upstream] = loadMark{mark: n.opts.Registry.Get(l.Upstream).Meter.Mark(), at: now}
+		n.loadMarks[l.Upstream] = loadMark{mark: n.opts.Registry.Get(l.Upstream).Meter.Mark(), at: now}
 		n.viewDirty = true
-		if len(n.hosts.Neighbours()) >= relayFrom {
-			n.loads = append(n.loads, l)
+		if len(n.hosts.Neighbours()) >= minRelayNeighbours {
+			n.pendingLoads = append(n.pendingLoads, l)
 		}
 	}
 }
 
-// relayFrom is the number of neighbours from which the mesh is not full and
-// load digests must be relayed.
-const relayFrom = 9
+// minRelayNeighbours is the number of neighbours from which the mesh is not full, so
+// that load digests are relayed.
+const minRelayNeighbours = 9
 
-// loadReported takes an upstream's own report, as one of its watchers.
+// loadReported handles the result of polling an upstream, as one of its watchers.
 func (n *Node) loadReported(now time.Time, ev LoadReported) {
 	if ev.Report == nil {
-		if r, news := n.upstreams.Unanswered(now, ev.Upstream); news {
-			n.spreadUpstreams("", []tracker.UpstreamRecord{r})
+		if r, changed := n.upstreams.Unanswered(now, ev.Upstream); changed {
+			n.sendUpstreams("", []tracker.UpstreamRecord{r})
 		}
 		return
 	}
-	r, news := n.upstreams.Reported(now, n.opts.Self.Host, ev.Upstream, *ev.Report)
-	if news {
-		n.restarted(ev.Upstream, r.Incarnation)
-		n.spreadUpstreams("", []tracker.UpstreamRecord{r})
+	r, changed := n.upstreams.Reported(now, n.opts.Self.Host, ev.Upstream, *ev.Report)
+	if changed {
+		n.updateIncarnation(ev.Upstream, r.Incarnation)
+		n.sendUpstreams("", []tracker.UpstreamRecord{r})
 	}
-	n.marks[ev.Upstream] = loadMark{mark: ev.Mark, at: now}
+	n.loadMarks[ev.Upstream] = loadMark{mark: ev.Mark, at: now}
 	_, digest, _ := n.upstreams.Lookup(ev.Upstream)
 	n.viewDirty = true
-	n.tellLoad(now, digest)
+	n.queueLoad(now, digest)
 }
 
-// Intervals of load digests that say nothing new.
+// Intervals at which unchanged load digests are sent again.
 const (
-	loadAgain   = 2 * time.Second
-	modelsAgain = 10 * time.Second
+	loadRefreshInterval   = 2 * time.Second
+	modelsRefreshInterval = 10 * time.Second
 )
 
-// toldLoad is the last digest of an upstream that this host passed on.
-type toldLoad struct {
+// sentLoad is the last load digest of an upstream that this host sent.
+type sentLoad struct {
 	digest   tracker.LoadDigest
 	at       time.Time
 	modelsAt time.Time
 }
 
-// tellLoad passes a digest on if it says something new or the last is old. The
-// models are left out while they are the same.
-func (n *Node) tellLoad(now time.Time, d tracker.LoadDigest) {
-	told := n.told[d.Upstream]
-	if tracker.SameLoad(told.digest, d) && now.Sub(told.at) < loadAgain {
+// queueLoad queues a digest if it has changed or is due again. Unchanged models are
+// left out until they are due.
+func (n *Node) queueLoad(now time.Time, d tracker.LoadDigest) {
+	sent := n.sentLoads[d.Upstream]
+	if tracker.SameLoad(sent.digest, d) && now.Sub(sent.at) < loadRefreshInterval {
 		return
 	}
-	next := toldLoad{digest: d, at: now, modelsAt: told.modelsAt}
-	if tracker.SameModels(told.digest, d) && now.Sub(told.modelsAt) < modelsAgain {
+	next := sentLoad{digest: d, at: now, modelsAt: sent.modelsAt}
+	if tracker.SameModels(sent.digest, d) && now.Sub(sent.modelsAt) < modelsRefreshInterval {
 		d.Models, d.Role, d.Same = nil, "", true
 	} else {
 		next.modelsAt = now
 	}
-	n.told[d.Upstream] = next
-	n.loads = append(n.loads, d)
+	n.sentLoads[d.Upstream] = next
+	n.pendingLoads = append(n.pendingLoads, d)
 }
 
-// restarted tells the index when an upstream has begun a new incarnation.
-func (n *Node) restarted(upstream string, incarnation uint64) {
+// updateIncarnation stores an upstream's incarnation and reports a restart.
+func (n *Node) updateIncarnation(upstream string, incarnation uint64) {
 	if old := n.incarnations[upstream]; incarnation > old {
 		n.incarnations[upstream] = incarnation
 		if old != 0 {
-			n.do(UpstreamRestarted{Upstream: upstream})
+			n.emit(UpstreamRestarted{Upstream: upstream})
 		}
 	}
 }
 
-// flushLoads sends what was gathered for other hosts: load digests, placements
-// and ends of turns.
+// flushLoads sends the queued load digests, placements and turns to other hosts.
 func (n *Node) flushLoads(now time.Time) {
-	if len(n.loads)+len(n.placed)+len(n.turns) == 0 || now.Sub(n.lastLoads) < loadFlush {
+	if len(n.pendingLoads)+len(n.pendingPlacements)+len(n.pendingTurns) == 0 || now.Sub(n.lastLoadFlush) < loadFlushInterval {
 		return
 	}
-	n.lastLoads = now
-	if len(n.loads)+len(n.placed) > 0 {
-		n.spread("", &messenger.Message{Loads: n.loads, Placed: n.placed})
+	n.lastLoadFlush = now
+	if len(n.pendingLoads)+len(n.pendingPlacements) > 0 {
+		n.sendNeighbours("", &messenger.Message{Loads: n.pendingLoads, Placed: n.pendingPlacements})
 	}
-	n.loads, n.placed = nil, nil
-	for host, turns := range n.turns {
-		n.do(Send{To: host, Message: &messenger.Message{Turns: turns}})
+	n.pendingLoads, n.pendingPlacements = nil, nil
+	for host, turns := range n.pendingTurns {
+		n.emit(Send{To: host, Message: &messenger.Message{Turns: turns}})
 	}
-	clear(n.turns)
+	clear(n.pendingTurns)
 }
 
 func (n *Node) hostsListed(now time.Time, ev HostsListed) {
-	if news := n.hosts.Listed(now, ev.Answer.Hosts); len(news) > 0 {
-		n.spreadHosts("", news)
+	if changed := n.hosts.Listed(now, ev.Answer.Hosts); len(changed) > 0 {
+		n.sendHosts("", changed)
 	}
 	n.viewDirty = true
 	doc := n.config.Document()
@@ -275,17 +275,17 @@
 	for _, l := range ev.Answer.Upstreams {
 		leaving[l.Address] = l.State == connector.ListedLeaving
 	}
-	var news []tracker.UpstreamRecord
+	var changed []tracker.UpstreamRecord
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
 		if r, ok := n.upstreams.Listed(u.Name, leaving[u.Address]); ok {
-			news = append(news, r)
+			changed = append(changed, r)
 		}
 	}
-	n.spreadUpstreams("", news)
+	n.sendUpstreams("", changed)
 }
 
-// Watched returns the upstreams that this host must ask for their load.
+// Watched returns the upstreams whose load this host must poll.
 func (n *Node) Watched() []configurer.Upstream {
 	doc := n.config.Document()
 	if doc == nil {
@@ -301,40 +301,41 @@
 	return out
 }
 
-// PeerAddress returns where another host can be reached.
+// PeerAddress returns the address of another host for peers, or "" if unknown.
 func (n *Node) PeerAddress(host string) string {
 	r, _ := n.hosts.Lookup(host)
 	return r.Peers
 }
 
-// Neighbours returns the hosts to keep connections to.
+// Neighbours returns the hosts that this host keeps connections to.
 func (n *Node) Neighbours() []string { return n.hosts.Neighbours() }
 
-// Hosts returns what is known of all hosts.
+// Hosts returns the records of all hosts.
 func (n *Node) Hosts() []tracker.HostRecord { return n.hosts.All() }
 
-// askSnapshots asks the neighbours for the folds that this host lacks while
-// the log cannot be read.
-func (n *Node) askSnapshots(now time.Time) {
-	if now.Sub(n.lastWants) < snapshotAgain {
+// requestSnapshots requests snapshots of streams from the neighbours while the log
+// cannot be read.
+func (n *Node) requestSnapshots(now time.Time) {
+	if now.Sub(n.lastSnapshotRequest) < snapshotRetryInterval {
 		return
 	}
 	var wants []string
 	for _, name := range []string{configurer.StreamName, leaser.StreamName} {
 		s := n.streams[name]
-		if s.failing && (!s.fold.Ready() || n.behind(name)) {
+		if s.failing && (!s.fold.Ready() || n.configurationBehind(name)) {
 			wants = append(wants, name)
 		}
 	}
 	if len(wants) == 0 {
 		return
 	}
-	n.lastWants = now
-	n.spread("", &messenger.Message{Wants: wants})
+	n.lastSnapshotRequest = now
+	n.sendNeighbours("", &messenger.Message{Wants: wants})
 }
 
-// behind reports whether another host has a newer configuration in force.
-func (n *Node) behind(stream string) bool {
+// configurationBehind reports whether the stream is that of the configuration and
+// another host has a newer one in force.
+func (n *Node) configurationBehind(stream string) bool {
 	if stream != configurer.StreamName {
 		return false
 	}
@@ -346,11 +347,11 @@
 	return false
 }
 
-func (n *Node) answerWants(to string, wants []string) {
+func (n *Node) sendSnapshots(to string, wants []string) {
 	for _, name := range wants {
 		if s := n.streams[name]; s != nil && s.fold.Ready() && !isClaims(name) {
 			cp := s.fold.Snapshot(n.opts.LogRetention)
-			n.do(Send{To: to, Message: &messenger.Message{Snapshot: &messenger.StreamSnapshot{Stream: name, Checkpoint: cp}}})
+			n.emit(Send{To: to, Message: &messenger.Message{Snapshot: &messenger.StreamSnapshot{Stream: name, Checkpoint: cp}}})
 		}
 	}
 }
@@ -364,26 +365,26 @@
 	return false
 }
 
-// recordTold takes a record that a peer has read from the log and this host has
-// not yet, if it is the next one.
-func (n *Node) recordTold(now time.Time, r messenger.StreamRecord) {
+// applyRelayedRecord applies a record that a peer has read from the log, if it is
+// the next one of its stream.
+func (n *Node) applyRelayedRecord(now time.Time, r messenger.StreamRecord) {
 	s := n.streams[r.Stream]
 	if s == nil || isClaims(r.Stream) || r.Record.Offset != s.fold.Next() || !s.fold.Ready() {
 		return
 	}
-	applied := n.feed(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.Raw{r.Record}})
-	// It may be this host's own record, which its next read of the log leaves out then:
-	// without this line the queue waited for it for good, and took no further change.
+	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.Raw{r.Record}})
+	// The record may be this host's own. The next read of the log starts after it, so
+	// the queue must see it here, or it would wait for it forever.
 	s.queue.Read(time.Time{}, false, applied)
 }
 
-// adopt takes a peer's snapshot of a stream that cannot be read.
-func (n *Node) adopt(now time.Time, snap messenger.StreamSnapshot) {
+// adoptSnapshot adopts a peer's snapshot of a stream that cannot be read.
+func (n *Node) adoptSnapshot(now time.Time, snap messenger.StreamSnapshot) {
 	s := n.streams[snap.Stream]
 	if s == nil || !s.failing || isClaims(snap.Stream) || !s.fold.Adopt(snap.Checkpoint) {
 		return
 	}
-	n.do(Follow{Stream: snap.Stream, From: s.fold.Next()})
+	n.emit(Follow{Stream: snap.Stream, From: s.fold.Next()})
 	if snap.Stream == configurer.StreamName {
 		n.configurationChanged(now)
 	}
--- a/controller/node.go
+++ b/controller/node.go
@@ -20,45 +20,45 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Options set up a node.
+// Options configure a node.
 type Options struct {
-	Self         tracker.HostRecord // Self has name, incarnation, zone and addresses.
+	Self         tracker.HostRecord // Self has this host's name, incarnation, zone and addresses.
 	Registry     *publisher.Registry
-	GroupCommit  time.Duration // GroupCommit is the least time between appends to a stream of claims.
+	GroupCommit  time.Duration // GroupCommit is the minimum interval of appends to a stream of claims.
 	Heartbeat    time.Duration
-	Suspect      time.Duration
+	SuspectAfter time.Duration
 	Lease        time.Duration
 	LeaseMargin  time.Duration
 	LogRetention time.Duration
 }
 
-// Intervals that are no settings.
+// Times that are not configurable.
 const (
-	otherCommit   = 20 * time.Millisecond  // otherCommit is the least time between appends to other streams.
-	claimAgain    = 250 * time.Millisecond // claimAgain is when an unanswered message to an owner is repeated.
-	leaseStagger  = 300 * time.Millisecond // leaseStagger is the extra wait of each rank of a contender.
-	loadFlush     = 50 * time.Millisecond  // loadFlush is the least time between two batches of load digests.
-	viewInterval  = 20 * time.Millisecond  // viewInterval is the least time between two views.
-	fullInterval  = 5 * time.Second        // fullInterval is the least time between two full exchanges with a peer.
-	snapshotAgain = time.Second            // snapshotAgain is when an unanswered question for a snapshot is repeated.
-	grantLife     = 10 * time.Second       // grantLife is how long a share of a limit holds.
+	defaultCommitInterval = 20 * time.Millisecond  // minimum interval of appends to streams other than claims
+	claimRetryInterval    = 250 * time.Millisecond // until an unanswered message to an owner is repeated
+	leaseStagger          = 300 * time.Millisecond // delay of acquiring a lease per rank of the candidate
+	loadFlushInterval     = 50 * time.Millisecond  // minimum interval of batches of load digests
+	viewInterval          = 20 * time.Millisecond  // minimum interval of views
+	fullSyncInterval      = 5 * time.Second        // minimum interval of full syncs with a peer
+	snapshotRetryInterval = time.Second            // until a request for snapshots is repeated
+	grantTTL              = 10 * time.Second       // validity of a granted share of a limit
 )
 
-// followed is a stream that this host reads.
-type followed struct {
-	fold    *folder.Stream
-	queue   *appender.Queue
-	applied func(now time.Time, rec folder.Applied)
-	failing bool      // failing tells that the last read failed.
-	marked  time.Time // marked is when a checkpoint was last seen or appended.
+// streamState is the state of a stream that this host reads.
+type streamState struct {
+	fold           *folder.Stream
+	queue          *appender.Queue
+	onApplied      func(now time.Time, rec folder.Applied)
+	failing        bool      // failing reports whether the last read failed.
+	lastCheckpoint time.Time // lastCheckpoint is when a checkpoint was last read or appended.
 }
 
 // Node is the control plane of one host. It is not safe for concurrent use.
 type Node struct {
 	opts    Options
 	writer  string
-	streams map[string]*followed
-	out     []Action
+	streams map[string]*streamState
+	actions []Action
 
 	config    *configurer.State
 	leases    *leaser.Table
@@ -70,78 +70,78 @@
 	shares    *limiter.Shares
 	divider   *limiter.Divider
 	reports   *reporter.Table
-	groups    [upstreamGroups]*group
-	kept      keptView
+	groups    [upstreamGroups]*issuerGroup
+	caches    cacheViews
 
-	awaited      map[string]bool // awaited holds the IDs of changes that were published here.
-	told         map[string]toldLoad
-	marks        map[string]loadMark
-	incarnations map[string]uint64 // incarnations are those of upstreams.
-	loads        []tracker.LoadDigest
-	placed       []messenger.Placement
-	turns        map[string][]keeper.Turn // turns wait to be sent, by host.
-	lastBeat     time.Time
-	lastLoads    time.Time
-	lastSlow     time.Time
-	lastWants    time.Time
-	lastFull     map[string]time.Time
-	lastTold     map[string]time.Time  // lastTold is when a host was last told that it is suspected.
-	sends        map[string]peerSends  // sends is what other hosts have under way, by host.
-	said         []messenger.SendCount // said is what the other hosts were last told.
-	lastSends    time.Time
-	leaving      bool
-	readyAt      time.Time            // readyAt is when the node was first ready.
-	better       map[string]time.Time // better is since when another host is the better candidate for a lease held here.
+	pendingChanges      map[string]bool // IDs of changes published here and not yet read back
+	sentLoads           map[string]sentLoad
+	loadMarks           map[string]loadMark
+	incarnations        map[string]uint64 // by upstream
+	pendingLoads        []tracker.LoadDigest
+	pendingPlacements   []messenger.Placement
+	pendingTurns        map[string][]keeper.Turn // by host to send them to
+	lastHeartbeat       time.Time
+	lastLoadFlush       time.Time
+	lastSlowTick        time.Time
+	lastSnapshotRequest time.Time
+	lastFullSync        map[string]time.Time
+	lastSuspectNotice   map[string]time.Time      // by suspected host
+	peerInFlight        map[string]inFlightCounts // by host
+	sentInFlight        []messenger.SendCount     // counts last sent to the other hosts
+	lastInFlightSent    time.Time
+	leaving             bool
+	readyAt             time.Time            // when the node was first ready
+	outrankedSince      map[string]time.Time // by lease held here for which another host ranks higher
 
 	view      *publisher.Snapshot
 	viewDirty bool
 	viewAt    time.Time
 }
 
-// NewNode returns a node that knows nothing yet.
+// NewNode returns a node without state.
 func NewNode(opts Options) *Node {
 	n := &Node{
-		opts:         opts,
-		writer:       fmt.Sprintf("%s#%d", opts.Self.Host, opts.Self.Incarnation),
-		streams:      make(map[string]*followed),
-		config:       &configurer.State{},
-		leases:       leaser.NewTable(),
-		upstreams:    tracker.NewUpstreams(tracker.UpstreamOptions{}),
-		shares:       limiter.NewShares(grantLife),
-		sends:        make(map[string]peerSends),
-		awaited:      make(map[string]bool),
-		told:         make(map[string]toldLoad),
-		marks:        make(map[string]loadMark),
-		incarnations: make(map[string]uint64),
-		lastFull:     make(map[string]time.Time),
-		turns:        make(map[string][]keeper.Turn),
-		kept:         newKeptView(),
-		lastTold:     make(map[string]time.Time),
-		better:       make(map[string]time.Time),
+		opts:              opts,
+		writer:            fmt.Sprintf("%s#%d", opts.Self.Host, opts.Self.Incarnation),
+		streams:           make(map[string]*streamState),
+		config:            &configurer.State{},
+		leases:            leaser.NewTable(),
+		upstreams:         tracker.NewUpstreams(tracker.UpstreamOptions{}),
+		shares:            limiter.NewShares(grantTTL),
+		peerInFlight:      make(map[string]inFlightCounts),
+		pendingChanges:    make(map[string]bool),
+		sentLoads:         make(map[string]sentLoad),
+		loadMarks:         make(map[string]loadMark),
+		incarnations:      make(map[string]uint64),
+		lastFullSync:      make(map[string]time.Time),
+		pendingTurns:      make(map[string][]keeper.Turn),
+		caches:            newCacheViews(),
+		lastSuspectNotice: make(map[string]time.Time),
+		outrankedSince:    make(map[string]time.Time),
 	}
 	opts.Self.State = tracker.HostLive
-	n.hosts = tracker.NewHosts(opts.Self, tracker.HostOptions{Suspect: opts.Suspect})
+	n.hosts = tracker.NewHosts(opts.Self, tracker.HostOptions{Suspect: opts.SuspectAfter})
 	n.holder = leaser.NewHolder(n.writer, n.leases, leaser.Options{
 		Duration: opts.Lease,
 		Margin:   opts.LeaseMargin,
 		Stagger:  leaseStagger,
 	})
-	n.claimant = claimer.NewClaimant(n.claimPolicy(), claimAgain)
+	n.claimant = claimer.NewClaimant(n.claimPolicy(), claimRetryInterval)
 	return n
 }
 
 // Start returns the first actions of a node.
 func (n *Node) Start(now time.Time) []Action {
-	n.follow(now, configurer.StreamName, n.config, otherCommit, n.configurationApplied)
-	n.follow(now, leaser.StreamName, n.leases, otherCommit, n.holder.Applied)
+	n.follow(now, configurer.StreamName, n.config, defaultCommitInterval, n.configurationApplied)
+	n.follow(now, leaser.StreamName, n.leases, defaultCommitInterval, n.holder.Applied)
 	n.viewDirty = true
 	return n.flush(now)
 }
 
-// Writer returns the name of this host as a writer of the log.
+// Writer returns the name under which this host writes to the log.
 func (n *Node) Writer() string { return n.writer }
 
-// Handle takes an event and returns what is to be done.
+// Handle handles an event and returns the actions to execute.
 func (n *Node) Handle(now time.Time, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Tick:
@@ -161,11 +161,11 @@
 	case LoadReported:
 		n.loadReported(now, ev)
 	case ClaimStarted:
-		n.steps(now, n.claimant.Start(now, ev.Request, ev.Deadline))
+		n.applySteps(now, n.claimant.Start(now, ev.Request, ev.Deadline))
 	case ClaimAbandoned:
-		n.steps(now, n.claimant.Abandon(now, ev.Nonce))
+		n.applySteps(now, n.claimant.Abandon(now, ev.Nonce))
 	case ClaimFinished:
-		n.steps(now, n.claimant.Finish(now, ev.Outcome))
+		n.applySteps(now, n.claimant.Finish(now, ev.Outcome))
 	case ChangePublished:
 		n.publish(ev.Delta)
 	case UsageRead:
@@ -179,7 +179,7 @@
 	case TurnEnded:
 		n.turnEnded(now, n.opts.Self.Host, ev.Turn)
 	case PlacementMade:
-		n.placed = append(n.placed, ev.Placement)
+		n.pendingPlacements = append(n.pendingPlacements, ev.Placement)
 	case Leave:
 		n.leave(now)
 	default:
@@ -188,23 +188,23 @@
 	return n.flush(now)
 }
 
-// do adds an action.
-func (n *Node) do(a Action) { n.out = append(n.out, a) }
+// emit adds an action to the result of the current call.
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// flush starts the appends that are due and returns all actions.
+// flush emits the appends that are due and returns all actions.
 func (n *Node) flush(now time.Time) []Action {
 	for name, s := range n.streams {
 		if rec, ok := s.queue.Next(now); ok {
-			n.do(Append{Stream: name, Record: rec})
+			n.emit(Append{Stream: name, Record: rec})
 		}
 	}
 	n.refreshView(now)
-	out := n.out
-	n.out = nil
+	out := n.actions
+	n.actions = nil
 	return out
 }
 
-// Due returns how long the node can be left without a Tick.
+// Due returns the time until the next Tick must be handled.
 func (n *Node) Due(now time.Time) time.Duration {
 	due := n.opts.Heartbeat / 4
 	for _, s := range n.streams {
@@ -213,29 +213,29 @@
 		}
 	}
 	if n.fullMesh() {
-		due = min(due, sendsInterval)
+		due = min(due, inFlightInterval)
 	}
 	if n.viewDirty {
 		due = min(due, viewInterval-now.Sub(n.viewAt))
 	}
-	if len(n.loads)+len(n.placed)+len(n.turns) > 0 {
-		due = min(due, loadFlush-now.Sub(n.lastLoads))
+	if len(n.pendingLoads)+len(n.pendingPlacements)+len(n.pendingTurns) > 0 {
+		due = min(due, loadFlushInterval-now.Sub(n.lastLoadFlush))
 	}
 	return max(due, time.Millisecond)
 }
 
-// follow begins to fold a stream.
+// follow starts reading a stream and folding it into state.
 func (n *Node) follow(now time.Time, name string, state folder.State, interval time.Duration, applied func(time.Time, folder.Applied)) {
 	if n.streams[name] != nil {
 		return
 	}
-	n.streams[name] = &followed{
-		fold:    folder.NewStream(name, state),
-		queue:   appender.NewQueue(n.writer, interval),
-		applied: applied,
-		marked:  now,
+	n.streams[name] = &streamState{
+		fold:           folder.NewStream(name, state),
+		queue:          appender.NewQueue(n.writer, interval),
+		onApplied:      applied,
+		lastCheckpoint: now,
 	}
-	n.do(Follow{Stream: name})
+	n.emit(Follow{Stream: name})
 }
 
 func (n *Node) logRead(now time.Time, ev LogRead) {
@@ -244,49 +244,48 @@
 		return
 	}
 	s.failing = false
-	was := s.fold.Ready()
-	applied := n.feed(now, s, ev.Stream, ev.Page)
+	wasReady := s.fold.Ready()
+	applied := n.applyPage(now, s, ev.Stream, ev.Page)
 	s.queue.Read(ev.Began, s.fold.Next() >= ev.Page.Next, applied)
-	if !was && s.fold.Ready() {
+	if !wasReady && s.fold.Ready() {
 		n.viewDirty = true
 	}
 }
 
-// feed folds a page. Records of the configuration are passed on to the
-// neighbours, so that a change is in force everywhere as soon as any host has
-// read it.
-func (n *Node) feed(now time.Time, s *followed, stream string, p folder.Page) []folder.Applied {
-	was := s.fold.Ready()
+// applyPage folds a page. Records of the configuration are relayed to the
+// neighbours, so that a change takes effect on all hosts once one has read it.
+func (n *Node) applyPage(now time.Time, s *streamState, stream string, p folder.Page) []folder.Applied {
+	wasReady := s.fold.Ready()
 	applied := s.fold.Feed(p)
 	for _, rec := range applied {
 		if hasCheckpoint(rec) {
-			s.marked = now
+			s.lastCheckpoint = now
 		}
-		s.applied(now, rec)
+		s.onApplied(now, rec)
 	}
-	if was && stream == configurer.StreamName && len(applied) > 0 {
-		n.passOn(stream, p.Records, applied[0].Offset)
+	if wasReady && stream == configurer.StreamName && len(applied) > 0 {
+		n.relayRecords(stream, p.Records, applied[0].Offset)
 	}
 	return applied
 }
 
-// maxPassedOn bounds the records that are passed on at once.
-const maxPassedOn = 16
+// maxRelayedRecords bounds the number of records in a message.
+const maxRelayedRecords = 16
 
-func (n *Node) passOn(stream string, records []folder.Raw, from uint64) {
+func (n *Node) relayRecords(stream string, records []folder.Raw, from uint64) {
 	m := &messenger.Message{}
 	for _, r := range records {
-		if r.Offset >= from && len(m.Records) < maxPassedOn {
+		if r.Offset >= from && len(m.Records) < maxRelayedRecords {
 			m.Records = append(m.Records, messenger.StreamRecord{Stream: stream, Record: r})
 		}
 	}
-	n.spread("", m)
+	n.sendNeighbours("", m)
 }
 
 func (n *Node) logFailed(now time.Time, stream string) {
 	if s := n.streams[stream]; s != nil {
 		s.failing = true
-		n.askSnapshots(now)
+		n.requestSnapshots(now)
 	}
 }
 
@@ -296,45 +295,46 @@
 	}
 }
 
-// slowTick is the time between two looks at what does not hurry.
-const slowTick = 100 * time.Millisecond
+// slowTickInterval is the interval of the tasks that are not run on each Tick.
+const slowTickInterval = 100 * time.Millisecond
 
 func (n *Node) tick(now time.Time) {
-	n.tickSends(now)
+	n.tickInFlight(now)
 	n.flushLoads(now)
-	if now.Sub(n.lastSlow) < slowTick {
+	if now.Sub(n.lastSlowTick) < slowTickInterval {
 		return
 	}
-	n.lastSlow = now
-	n.beat(now)
+	n.lastSlowTick = now
+	n.heartbeat(now)
 	n.tickLeases(now)
 	n.tickClaims(now)
 	n.tickCheckpoints(now)
 	n.tickLimits(now)
 	n.tickOrders(now)
-	n.tickKept(now)
-	n.askSnapshots(now)
+	n.queryCaches(now)
+	n.requestSnapshots(now)
 }
 
-// Ready reports whether this host holds a configuration and the leases.
+// Ready reports whether this host has a configuration and has read the streams of
+// the configuration and of the leases.
 func (n *Node) Ready() bool {
 	return n.config.Document() != nil && n.streams[configurer.StreamName].fold.Ready() && n.streams[leaser.StreamName].fold.Ready()
 }
 
-// leave gives up the duties of this host and tells everyone.
+// leave releases this host's leases and announces that it is leaving.
 func (n *Node) leave(now time.Time) {
 	if n.leaving {
 		return
 	}
 	n.leaving = true
 	n.streams[leaser.StreamName].queue.Add(n.holder.Release()...)
-	if r, news := n.hosts.Say(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving }); news {
-		n.spreadHosts("", []tracker.HostRecord{r})
+	if r, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving }); changed {
+		n.sendHosts("", []tracker.HostRecord{r})
 	}
 	n.viewDirty = true
 }
 
-// Idle reports whether everything that this host has said is in the log.
+// Idle reports whether all entries and claim outcomes of this host are in the log.
 func (n *Node) Idle() bool {
 	for _, s := range n.streams {
 		if s.queue.Len() > 0 {
--- a/controller/orders.go
+++ b/controller/orders.go
@@ -17,19 +17,18 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// upstreamGroups is the number of groups of upstreams. Each group has one
-// issuer of orders.
+// upstreamGroups is the number of groups of upstreams. Each group has one issuer.
 const upstreamGroups = 4
 
-// longestDelivery bounds the way of an order to an upstream; the adapter gives
-// a call up sooner.
-const longestDelivery = 2 * time.Second
+// orderDeliveryTimeout bounds the delivery of an order to an upstream. The timeout
+// of package runner must be less.
+const orderDeliveryTimeout = 2 * time.Second
 
 func groupLease(g int) string { return groupLeases[g] }
 
-var groupLeases = groupNames()
+var groupLeases = groupLeaseNames()
 
-func groupNames() (names [upstreamGroups]string) {
+func groupLeaseNames() (names [upstreamGroups]string) {
 	for g := range names {
 		names[g] = fmt.Sprintf("Upstreams-%d", g)
 	}
@@ -39,13 +38,14 @@
 // groupOf returns the group of an upstream.
 func groupOf(upstream string) int { return int(xxhash.Sum64String(upstream) % upstreamGroups) }
 
-// group is this host's part as issuer of one group.
-type group struct {
+// issuerGroup is the state of a group of upstreams that this host issues orders to.
+type issuerGroup struct {
 	issuer *orderer.Issuer
-	stores map[string]*issuedStore
+	stores map[string]*cacheStore
 }
 
-// tickOrders gives the orders that are due in the groups held here.
+// tickOrders issues the orders that are due in the groups whose leases are held
+// here.
 func (n *Node) tickOrders(now time.Time) {
 	doc := n.config.Document()
 	if doc == nil {
@@ -64,26 +64,26 @@
 		return
 	}
 	if n.groups[g] == nil {
-		n.groups[g] = &group{
+		n.groups[g] = &issuerGroup{
 			issuer: orderer.NewIssuer(orderer.Options{
 				Lease:           n.opts.Lease,
-				DeliveryTimeout: longestDelivery,
-				UnloadDelay:     longestRun(doc),
+				DeliveryTimeout: orderDeliveryTimeout,
+				UnloadDelay:     maxRunTime(doc),
 			}),
-			stores: make(map[string]*issuedStore),
+			stores: make(map[string]*cacheStore),
 		}
 	}
 	gr := n.groups[g]
 	gr.issuer.SetEpoch(now, epoch)
-	gr.issuer.SetUnloadDelay(longestRun(doc))
-	for _, is := range gr.issuer.Tick(now, n.wants(doc, g), slotCounter{n, now}) {
-		n.issue(now, g, is)
+	gr.issuer.SetUnloadDelay(maxRunTime(doc))
+	for _, o := range gr.issuer.Tick(now, n.upstreamStates(doc, g), loadSlots{n, now}) {
+		n.emitOrder(now, g, o)
 	}
 	n.tickStores(now, doc, g)
 }
 
-// longestRun returns the longest time that a request may run.
-func longestRun(doc *configurer.Document) time.Duration {
+// maxRunTime returns the longest deadline of all classes.
+func maxRunTime(doc *configurer.Document) time.Duration {
 	var longest time.Duration
 	for _, c := range doc.Classes {
 		longest = max(longest, c.Deadline.Std())
@@ -91,19 +91,20 @@
 	return longest
 }
 
-// issue gives an order under the lease of a group.
-func (n *Node) issue(now time.Time, g int, is orderer.AddressedOrder) {
+// emitOrder emits an order that is valid until the lease of the group expires.
+func (n *Node) emitOrder(now time.Time, g int, o orderer.AddressedOrder) {
 	doc := n.config.Document()
 	for i := range doc.Upstreams {
-		if doc.Upstreams[i].Name == is.Upstream {
-			n.do(Issue{Upstream: is.Upstream, Address: doc.Upstreams[i].Address, Order: is.Order, Until: n.holder.Until(groupLease(g))})
+		if doc.Upstreams[i].Name == o.Upstream {
+			n.emit(SendOrder{Upstream: o.Upstream, Address: doc.Upstreams[i].Address, Order: o.Order, Until: n.holder.Until(groupLease(g))})
 			return
 		}
 	}
 }
 
-// wants returns what the engines of a group must be and were seen to be.
-func (n *Node) wants(doc *configurer.Document, g int) []orderer.UpstreamState {
+// upstreamStates returns the desired and observed states of the live engines of a
+// group.
+func (n *Node) upstreamStates(doc *configurer.Document, g int) []orderer.UpstreamState {
 	var out []orderer.UpstreamState
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
@@ -118,7 +119,7 @@
 			Upstream:      u.Name,
 			WeightStore:   u.WeightStore,
 			ChecksFencing: u.ChecksFencing,
-			WantModels:    wantedModels(doc, u),
+			WantModels:    wantModels(doc, u),
 			WantRole:      u.Role,
 			ObservedAt:    at,
 			Loaded:        digest.Models,
@@ -128,8 +129,8 @@
 	return out
 }
 
-// wantedModels returns the versions and adapters that an engine must have.
-func wantedModels(doc *configurer.Document, u *configurer.Upstream) []wire.LoadedModel {
+// wantModels returns the versions and adapters that an engine must load.
+func wantModels(doc *configurer.Document, u *configurer.Upstream) []wire.LoadedModel {
 	var out []wire.LoadedModel
 	for _, name := range u.Models {
 		m, _ := doc.Model(name)
@@ -148,7 +149,7 @@
 
 func (n *Node) orderDone(now time.Time, ev OrderDone) {
 	if ev.Answer == nil {
-		return // given again later
+		return // the issuer repeats the order
 	}
 	if g := n.groups[groupOf(ev.Upstream)]; g != nil && ev.Answer.Accepted {
 		n.storeOrderDone(now, g, ev)
@@ -169,9 +170,9 @@
 	return rest[:strings.LastIndexByte(rest, '/')]
 }
 
-// missing returns, for each weight store, how many servers that this host
-// issues to lack something.
-func (n *Node) missing(now time.Time) map[string]int {
+// incompleteUpstreams returns, for each weight store, the number of upstreams of this
+// host's groups that lack a wanted version or adapter.
+func (n *Node) incompleteUpstreams(now time.Time) map[string]int {
 	out := make(map[string]int)
 	doc := n.config.Document()
 	if doc == nil {
@@ -181,21 +182,21 @@
 		if gr == nil {
 			continue
 		}
-		for _, w := range n.wants(doc, g) {
-			if gr.issuer.MayOrder(now, w.ChecksFencing) && lacks(w) {
-				out[w.WeightStore]++
+		for _, s := range n.upstreamStates(doc, g) {
+			if gr.issuer.MayOrder(now, s.ChecksFencing) && lacksModel(s) {
+				out[s.WeightStore]++
 			}
 		}
 	}
 	return out
 }
 
-func lacks(w orderer.UpstreamState) bool {
-	have := make(map[wire.LoadedModel]bool, len(w.Loaded))
-	for _, m := range w.Loaded {
-		have[m] = true // a version that is loading has another value
+func lacksModel(s orderer.UpstreamState) bool {
+	have := make(map[wire.LoadedModel]bool, len(s.Loaded))
+	for _, m := range s.Loaded {
+		have[m] = true // differs from the wanted value while loading
 	}
-	for _, m := range w.WantModels {
+	for _, m := range s.WantModels {
 		if !have[m] {
 			return true
 		}
@@ -203,12 +204,12 @@
 	return false
 }
 
-// slotsWanted returns the leases of the slots that this host needs now.
-func (n *Node) slotsWanted(now time.Time) []string {
+// neededSlots returns the leases of the slots that this host should acquire.
+func (n *Node) neededSlots(now time.Time) []string {
 	doc := n.config.Document()
 	var out []string
-	for store, count := range n.missing(now) {
-		held := n.slotsHeld(store)
+	for store, count := range n.incompleteUpstreams(now) {
+		held := n.heldSlots(store)
 		for slot := range doc.Loads.AtOnce {
 			l := n.leases.Lookup(slotLease(store, slot))
 			if held < count && l.Holder != n.writer {
@@ -220,7 +221,7 @@
 	return out
 }
 
-func (n *Node) slotsHeld(store string) int {
+func (n *Node) heldSlots(store string) int {
 	held := 0
 	for _, name := range n.holder.Held() {
 		if isSlot(name) && slotStore(name) == store {
@@ -230,9 +231,9 @@
 	return held
 }
 
-// slotsDone returns the leases of slots that are no longer needed.
-func (n *Node) slotsDone(now time.Time) []string {
-	missing := n.missing(now)
+// unneededSlots returns the held leases of slots that are no longer needed.
+func (n *Node) unneededSlots(now time.Time) []string {
+	missing := n.incompleteUpstreams(now)
 	var out []string
 	for _, name := range n.holder.Held() {
 		if !isSlot(name) {
@@ -247,17 +248,15 @@
 	return out
 }
 
-// slotCounter counts the loads that may begin now. It implements
-// orderer.Slots.
-type slotCounter struct {
+// loadSlots counts the free slots of weight stores. It implements orderer.Slots.
+type loadSlots struct {
 	node *Node
 	now  time.Time
 }
 
-// Free implements orderer.Slots: the slots held and valid, less this host's
-// loads under way, and never more than what all servers that are seen to load
-// leave free.
-func (c slotCounter) Free(store string) int {
+// Free implements orderer.Slots. It returns the number of valid slots held by this
+// host minus its running loads, but at most the limit minus all running loads.
+func (c loadSlots) Free(store string) int {
 	n := c.node
 	doc := n.config.Document()
 	valid := 0
@@ -266,13 +265,13 @@
 			valid++
 		}
 	}
-	mine, all := n.loading(c.now, doc, store)
+	mine, all := n.countLoading(c.now, doc, store)
 	return min(valid-mine, doc.Loads.AtOnce-all)
 }
 
-// loading returns how many servers of a weight store load now by this host's
-// orders, and how many in all.
-func (n *Node) loading(now time.Time, doc *configurer.Document, store string) (mine, all int) {
+// countLoading returns the number of upstreams of a weight store that are loading:
+// those in this host's groups, and all.
+func (n *Node) countLoading(now time.Time, doc *configurer.Document, store string) (mine, all int) {
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
 		if u.WeightStore != store {
@@ -292,7 +291,7 @@
 	}
 	for g, gr := range n.groups {
 		if gr != nil {
-			pending := gr.issuer.PendingLoads(now, store, n.wants(doc, g))
+			pending := gr.issuer.PendingLoads(now, store, n.upstreamStates(doc, g))
 			mine += pending
 			all += pending
 		}
@@ -300,19 +299,19 @@
 	return mine, all
 }
 
-// promote puts the next version of a model into force when every upstream that
-// can be used has loaded it. The change is made on the revision in force, so
-// that two holders of the lease cannot make it twice.
+// promote puts the next version of a model into force once all its live upstreams
+// have loaded it. The change is based on the revision in force, so that two holders
+// of the lease cannot apply it twice.
 func (n *Node) promote(now time.Time, doc *configurer.Document) {
 	if _, ok := n.holder.Valid(now, leaseRollout); !ok {
 		return
 	}
 	for _, m := range doc.Models {
-		if m.Next == "" || !n.everywhere(doc, m) {
+		if m.Next == "" || !n.nextLoadedEverywhere(doc, m) {
 			continue
 		}
 		id := fmt.Sprintf("rollout-%s-%s-%d", m.Name, m.Next, n.config.Revision())
-		if n.awaited[id] {
+		if n.pendingChanges[id] {
 			continue
 		}
 		d, err := configurer.NewDelta(id, "rollout", n.config.Revision(), doc, doc.WithPromoted(m.Name))
@@ -323,9 +322,9 @@
 	}
 }
 
-// everywhere reports whether all live upstreams of a model have its next
-// version.
-func (n *Node) everywhere(doc *configurer.Document, m configurer.Model) bool {
+// nextLoadedEverywhere reports whether all live upstreams of a model, and at least
+// one, have loaded its next version.
+func (n *Node) nextLoadedEverywhere(doc *configurer.Document, m configurer.Model) bool {
 	count := 0
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
--- a/controller/records_test.go
+++ b/controller/records_test.go
@@ -16,15 +16,14 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// TestOwnRecordIsToldByPeer: another host reads this host's record from the log first
-// and passes it on. This host must not wait any longer to read it back, or no further
-// change from it is ever appended.
+// TestOwnRecordIsToldByPeer checks that a host's own record that a peer relays counts
+// as read back, so that later entries are appended.
 func TestOwnRecordIsToldByPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := NewNode(Options{
 		Self:      tracker.HostRecord{Host: "a", Incarnation: 1, Peers: "a", Callers: "a"},
 		Registry:  &publisher.Registry{},
-		Heartbeat: time.Second, Suspect: time.Second, Lease: 3 * time.Second, LogRetention: time.Hour,
+		Heartbeat: time.Second, SuspectAfter: time.Second, Lease: 3 * time.Second, LogRetention: time.Hour,
 	})
 	n.Start(now)
 	stream := configurer.StreamName
@@ -36,7 +35,7 @@
 	assert.Assert(t, ok)
 	n.Handle(now, AppendDone{Stream: stream, Sequence: rec.Sequence})
 	assert.Equal(t, s.queue.Len(), 1)
-	told := folder.Raw{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
-	n.Handle(now, PeerMessage{From: "b", Message: &messenger.Message{Records: []messenger.StreamRecord{{Stream: stream, Record: told}}}})
+	relayed := folder.Raw{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
+	n.Handle(now, PeerMessage{From: "b", Message: &messenger.Message{Records: []messenger.StreamRecord{{Stream: stream, Record: relayed}}}})
 	assert.Equal(t, s.queue.Len(), 0)
 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -12,26 +12,25 @@
 
 const reportStream = reporter.StreamName
 
-// followReports begins to fold the reports; hosts that nobody asks do not.
+// followReports starts folding the stream of reports, when it is first needed.
 func (n *Node) followReports(now time.Time) {
 	if n.reports == nil {
 		n.reports = reporter.NewTable()
-		n.follow(now, reportStream, n.reports, reportCommit, func(time.Time, folder.Applied) {})
+		n.follow(now, reportStream, n.reports, reportCommitInterval, func(time.Time, folder.Applied) {})
 	}
 }
 
-// reportCommit is the least time between appends of reports.
-const reportCommit = time.Second
+// reportCommitInterval is the minimum interval of appends of reports.
+const reportCommitInterval = time.Second
 
-// report appends outcomes. A host that does not fold the reports still reads
-// the stream to see its own records back.
+// report appends outcomes. The host must follow the stream to read its own records
+// back.
 func (n *Node) report(now time.Time, entries []folder.Entry) {
 	n.followReports(now)
 	n.streams[reportStream].queue.Add(entries...)
 }
 
-// Report returns the service report as far as this host has read it, and false
-// if it has not read all of it yet.
+// Report returns the service report as read so far, and whether that is complete.
 func (n *Node) Report(now time.Time) (reporter.Report, bool) {
 	n.followReports(now)
 	return n.reports.Report(), n.streams[reportStream].fold.Ready()
--- a/controller/script_test.go
+++ b/controller/script_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// script is a scripted run of several hosts, read from a data file.
+// script is a simulation of several hosts, read from a data file.
 type script struct {
 	Hosts   int
 	Engines int // Engines is the number of engines in the first document.
@@ -40,7 +40,7 @@
 	Steps   []step
 }
 
-// step is one thing that happens, and what must hold then.
+// step is an action or a check in a script.
 type step struct {
 	After duration.Duration // After is the time since the step before.
 	Do    string
@@ -73,7 +73,7 @@
 	sim.addEngines(sc.Engines)
 	byKey := make(map[string]*simAttempt)
 	for i, st := range sc.Steps {
-		sim.run(st.After.Std())
+		sim.advance(st.After.Std())
 		if msg := sim.step(st, byKey); msg != "" {
 			t.Fatalf("step %d (%s %s%s): %s", i+1, st.Do, st.Host, st.Key, msg)
 		}
@@ -81,7 +81,7 @@
 	assert.DeepEqual(t, sim.check(), []string(nil))
 }
 
-// step carries out one step and returns what does not hold.
+// step executes one step and returns a message if a check fails.
 func (s *simulation) step(st step, byKey map[string]*simAttempt) string {
 	switch st.Do {
 	case "Kill":
@@ -97,21 +97,21 @@
 			}
 		}
 	case "Cut":
-		s.cut[s.resolve(st.Host)] = true
+		s.isolated[s.resolve(st.Host)] = true
 	case "Mend":
-		s.mend()
+		s.clearFaults()
 	case "Deaf":
-		s.deaf[s.resolve(st.Host)] = true
+		s.cannotRead[s.resolve(st.Host)] = true
 	case "Mute":
-		s.mute[s.resolve(st.Host)] = true
+		s.cannotAppend[s.resolve(st.Host)] = true
 	case "Hold":
-		s.hold[s.resolve(st.Host)] = true
+		s.lateAppends[s.resolve(st.Host)] = true
 	case "LogDown":
 		s.logDown = true
 	case "LogSlow":
 		s.logSlow = st.Wait.Std()
 	case "LogLoses":
-		s.lose = 0.5
+		s.ackLoss = 0.5
 	case "PublishNext":
 		s.publishNext(st.Host, st.ID, st.Value)
 	case "WantVersion":
@@ -122,15 +122,15 @@
 				}
 			}
 		}
-	case "WantNoSuspicion": // every refuted suspicion raises a host's version
+	case "WantNoSuspicion": // refuting a suspicion increments a host's version
 		for _, n := range s.names {
 			if v := s.hosts[n].node.hosts.Self().Version; v > 4 {
-				return fmt.Sprintf("%s had to refute: version %d", n, v)
+				return fmt.Sprintf("%s refuted a suspicion: version %d", n, v)
 			}
 		}
 	case "WantPeak":
-		if got := fmt.Sprint(s.peak); got != st.Want {
-			return fmt.Sprintf("%s engines loaded at once, want %s", got, st.Want)
+		if got := fmt.Sprint(s.peakLoads); got != st.Want {
+			return fmt.Sprintf("%s engines loaded concurrently, want %s", got, st.Want)
 		}
 	case "Expire":
 		s.expire(st.Value, st.Keep)
@@ -148,7 +148,7 @@
 		if got := s.results[st.ID]; string(got.Fate) != st.Want {
 			return fmt.Sprintf("fate %q, want %q", got.Fate, st.Want)
 		}
-	case "WantOneOf": // one of two racing changes is accepted, the other has a conflict
+	case "WantOneOf": // one of two concurrent changes is accepted, the other conflicts
 		a, b := s.results[st.ID].Fate, s.results[st.Value].Fate
 		if a == b || a != configurer.FateAccepted && b != configurer.FateAccepted || a != configurer.FateConflict && b != configurer.FateConflict {
 			return fmt.Sprintf("fates %q and %q", a, b)
@@ -165,7 +165,7 @@
 		for _, n := range s.names {
 			if h := s.hosts[n]; h.alive && n != st.Host {
 				if r, _ := h.node.hosts.Lookup(st.Host); string(r.State) != st.Want {
-					return fmt.Sprintf("%s sees it as %s, want %s", n, r.State, st.Want)
+					return fmt.Sprintf("%s has its state as %s, want %s", n, r.State, st.Want)
 				}
 			}
 		}
@@ -176,7 +176,8 @@
 	return ""
 }
 
-// resolve turns "owner of KEY" and "not owner of KEY" into a host's name.
+// resolve returns the host that "owner of KEY", "not owner of KEY" or "holder of
+// LEASE" stands for.
 func (s *simulation) resolve(host string) string {
 	if key, ok := strings.CutPrefix(host, "owner of "); ok {
 		return s.owner(key)
--- a/controller/sends.go
+++ b/controller/sends.go
@@ -13,28 +13,28 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Hosts tell each other what they have under way at the upstreams, so that they
-// do not all choose the one that the last load report showed idle. In a system
-// too large for a full mesh they do not, and go by load reports.
+// Hosts exchange the numbers of their requests in flight at each upstream, so that
+// they do not all choose the one that was idle in the last load report. Without a
+// full mesh they use load reports only.
 const (
-	sendsInterval = 50 * time.Millisecond
-	sendsFresh    = 3 * time.Second // sendsFresh is how long a statement holds that is not replaced.
-	sendsAgain    = time.Second     // sendsAgain is when a statement that says nothing new is repeated.
+	inFlightInterval        = 50 * time.Millisecond
+	inFlightMaxAge          = 3 * time.Second // validity of received counts
+	inFlightRefreshInterval = time.Second     // until unchanged counts are sent again
 )
 
-// peerSends is what another host has under way.
-type peerSends struct {
+// inFlightCounts is what another host has in flight, by upstream.
+type inFlightCounts struct {
 	at     time.Time
 	counts map[string]messenger.SendCount
 }
 
 // fullMesh reports whether this host has a connection to every other.
-func (n *Node) fullMesh() bool { return len(n.hosts.Neighbours()) < relayFrom }
+func (n *Node) fullMesh() bool { return len(n.hosts.Neighbours()) < minRelayNeighbours }
 
-// tickSends tells the other hosts what this one has under way.
-func (n *Node) tickSends(now time.Time) {
+// tickInFlight sends this host's counts to the other hosts.
+func (n *Node) tickInFlight(now time.Time) {
 	doc := n.config.Document()
-	if doc == nil || now.Sub(n.lastSends) < sendsInterval || !n.fullMesh() {
+	if doc == nil || now.Sub(n.lastInFlightSent) < inFlightInterval || !n.fullMesh() {
 		return
 	}
 	s := &messenger.Sends{}
@@ -44,39 +44,39 @@
 			s.Upstreams = append(s.Upstreams, messenger.SendCount{Upstream: doc.Upstreams[i].Name, Requests: requests, Tokens: m.Pending()})
 		}
 	}
-	if slices.Equal(s.Upstreams, n.said) && now.Sub(n.lastSends) < sendsAgain {
+	if slices.Equal(s.Upstreams, n.sentInFlight) && now.Sub(n.lastInFlightSent) < inFlightRefreshInterval {
 		return
 	}
-	n.said = s.Upstreams
-	n.lastSends = now
-	n.spread("", &messenger.Message{Sends: s})
+	n.sentInFlight = s.Upstreams
+	n.lastInFlightSent = now
+	n.sendNeighbours("", &messenger.Message{Sends: s})
 }
 
-func (n *Node) peerSends(now time.Time, from string, s *messenger.Sends) {
-	p := peerSends{at: now, counts: make(map[string]messenger.SendCount, len(s.Upstreams))}
+func (n *Node) inFlightReceived(now time.Time, from string, s *messenger.Sends) {
+	p := inFlightCounts{at: now, counts: make(map[string]messenger.SendCount, len(s.Upstreams))}
 	for _, c := range s.Upstreams {
 		p.counts[c.Upstream] = c
 	}
-	old := n.sends[from]
-	n.sends[from] = p
-	if !maps.Equal(old.counts, p.counts) || now.Sub(old.at) > sendsFresh {
+	old := n.peerInFlight[from]
+	n.peerInFlight[from] = p
+	if !maps.Equal(old.counts, p.counts) || now.Sub(old.at) > inFlightMaxAge {
 		n.viewDirty = true
 	}
 }
 
-// livePeers returns what each other live host has said, and false unless all
-// have spoken a moment ago.
-func (n *Node) livePeers(now time.Time) ([]peerSends, bool) {
+// peerCounts returns the counts of all other live or leaving hosts, or false unless
+// all are recent.
+func (n *Node) peerCounts(now time.Time) ([]inFlightCounts, bool) {
 	if !n.fullMesh() {
 		return nil, false
 	}
-	var out []peerSends
+	var out []inFlightCounts
 	for _, r := range n.hosts.All() {
 		if r.Host == n.opts.Self.Host || r.State != tracker.HostLive && r.State != tracker.HostLeaving {
 			continue
 		}
-		p := n.sends[r.Host]
-		if now.Sub(p.at) > sendsFresh {
+		p := n.peerInFlight[r.Host]
+		if now.Sub(p.at) > inFlightMaxAge {
 			return nil, false
 		}
 		out = append(out, p)
@@ -84,8 +84,8 @@
 	return out, true
 }
 
-// peerLoad adds up what other hosts have under way at an upstream.
-func peerLoad(peers []peerSends, fresh bool, upstream string) router.PeerLoad {
+// peerLoad adds up what other hosts have in flight at an upstream.
+func peerLoad(peers []inFlightCounts, fresh bool, upstream string) router.PeerLoad {
 	load := router.PeerLoad{Fresh: fresh}
 	for _, p := range peers {
 		c := p.counts[upstream]
--- a/controller/simhost_test.go
+++ b/controller/simhost_test.go
@@ -13,63 +13,64 @@
 	"amaranthgate.example/amaranthgate/messenger"
 )
 
-// simHost is one host's process in the simulation: it carries out the actions of its node
-// over simulated links and log.
+// simHost is a simulated process of a host. It executes the actions of its node with
+// simulated links and a simulated log.
 type simHost struct {
-	sim     *simulation
-	name    string
-	started int
-	alive   bool
-	paused  bool
-	held    []func()
-	node    *Node
-	life    int // life changes with each start and kill, to drop what is under way.
-	follows map[string]*simFollow
-	claims  map[string]*simAttempt
+	sim        *simulation
+	name       string
+	started    int
+	alive      bool
+	paused     bool
+	deferred   []func()
+	node       *Node
+	generation int // generation is incremented by each start and kill, to drop pending events.
+	follows    map[string]*simFollow
+	claims     map[string]*simAttempt
 
-	highest     uint64 // highest is the revision that was in force last.
-	highestLife int    // highestLife is the life in which that was.
+	highest           uint64 // highest is the last revision in force.
+	highestGeneration int    // highestGeneration is the generation of that process.
 }
 
-// simFollow is a host's reading of one stream.
+// simFollow is the state of a host's reads of one stream.
 type simFollow struct {
 	from    uint64
 	reading bool
 	stopped bool
 }
 
-// in runs f at a host if the same process still lives, later if it is paused.
-func (h *simHost) in(life int, f func()) {
-	if !h.alive || h.life != life {
+// runIn runs f if the process of a generation still runs, and defers it while the
+// process is paused.
+func (h *simHost) runIn(generation int, f func()) {
+	if !h.alive || h.generation != generation {
 		return
 	}
 	if h.paused {
-		h.held = append(h.held, func() { h.in(life, f) })
+		h.deferred = append(h.deferred, func() { h.runIn(generation, f) })
 		return
 	}
 	f()
 }
 
-// later runs f at the host after a time.
+// later runs f in the current process after a delay.
 func (h *simHost) later(d time.Duration, f func()) {
-	life := h.life
-	h.sim.after(d, func() { h.in(life, f) })
+	generation := h.generation
+	h.sim.after(d, func() { h.runIn(generation, f) })
 }
 
-func (h *simHost) handle(ev Event) { h.carryOut(h.node.Handle(h.sim.now, ev)) }
+func (h *simHost) handle(ev Event) { h.execute(h.node.Handle(h.sim.now, ev)) }
 
-func (h *simHost) tick(life int) {
-	h.sim.after(simTick, func() {
-		h.in(life, func() {
+func (h *simHost) tick(generation int) {
+	h.sim.after(simTickInterval, func() {
+		h.runIn(generation, func() {
 			h.handle(Tick{})
-			h.tick(life)
+			h.tick(generation)
 		})
 	})
 }
 
-func (h *simHost) listed(life int) {
+func (h *simHost) pollHostList(generation int) {
 	h.sim.after(time.Second, func() {
-		h.in(life, func() {
+		h.runIn(generation, func() {
 			var a connector.HostListAnswer
 			for _, n := range h.sim.names {
 				if h.sim.hosts[n].alive {
@@ -77,12 +78,12 @@
 				}
 			}
 			h.handle(HostsListed{Answer: a})
-			h.listed(life)
+			h.pollHostList(generation)
 		})
 	})
 }
 
-func (h *simHost) carryOut(actions []Action) {
+func (h *simHost) execute(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Append:
@@ -97,33 +98,32 @@
 			h.settle(a.Settled)
 		case Published:
 			h.sim.results[a.Result.ID] = a.Result
-		case Issue:
+		case SendOrder:
 			h.issue(a)
 		case ViewChanged:
-			h.viewed()
+			h.checkRevision()
 		}
 	}
 }
 
-// viewed checks that the revision in force never goes back, over restarts too
-// as soon as the host is ready.
-func (h *simHost) viewed() {
+// checkRevision checks that the revision in force at a ready host never decreases,
+// also over restarts.
+func (h *simHost) checkRevision() {
 	v := h.node.View()
 	if !v.Ready {
 		return
 	}
-	if floor := h.floor(); v.Revision < floor {
-		h.sim.broken("%s went back from revision %d to %d", h.name, floor, v.Revision)
+	if floor := h.minRevision(); v.Revision < floor {
+		h.sim.violation("%s went from revision %d back to %d", h.name, floor, v.Revision)
 	}
-	h.highest, h.highestLife = v.Revision, h.life
+	h.highest, h.highestGeneration = v.Revision, h.generation
 }
 
-// floor returns the revision below which a host must not serve: the highest it
-// had in force. A process that started since cannot know that one while it
-// cannot read the log and no living host has it; the newest of theirs is the
-// floor then.
-func (h *simHost) floor() uint64 {
-	if h.highestLife == h.life || !h.sim.logDown && !h.sim.deaf[h.name] {
+// minRevision returns the revision below which a host must not serve: the last one
+// it had in force. A restarted process that cannot read the log can only get the
+// highest revision of the other running hosts.
+func (h *simHost) minRevision() uint64 {
+	if h.highestGeneration == h.generation || !h.sim.logDown && !h.sim.cannotRead[h.name] {
 		return h.highest
 	}
 	var known uint64
@@ -141,21 +141,21 @@
 	done := func(err error) func() {
 		return func() { h.handle(AppendDone{Stream: a.Stream, Sequence: a.Record.Sequence, Err: err}) }
 	}
-	if s.logDown || s.mute[h.name] {
+	if s.logDown || s.cannotAppend[h.name] {
 		h.later(simTimeout, done(fmt.Errorf("down")))
 		return
 	}
 	delay := simLatency + s.logSlow + time.Duration(s.rng.IntN(2000))*time.Microsecond
-	lost := s.rng.Float64() < s.lose
-	late := lost && s.rng.IntN(4) == 0 // the append takes effect after the answer was given up
+	lost := s.rng.Float64() < s.ackLoss
+	late := lost && s.rng.IntN(4) == 0 // the append takes effect after its timeout
 	if late {
 		delay += 2 * simTimeout
 	}
-	if s.hold[h.name] {
+	if s.lateAppends[h.name] {
 		lost = true
-		delay += simHeld
+		delay += simAppendDelay
 	}
-	s.after(delay, func() { s.land(a.Stream, body) }) // lands whether or not its writer still lives
+	s.after(delay, func() { s.commit(a.Stream, body) }) // takes effect even if its writer was killed
 	if lost || delay > simTimeout {
 		h.later(simTimeout, done(fmt.Errorf("no answer")))
 		return
@@ -179,7 +179,7 @@
 }
 
 func (h *simHost) poll(stream string, f *simFollow) {
-	h.later(simPoll/4, func() {
+	h.later(simPollInterval/4, func() {
 		if !f.stopped {
 			h.read(stream, f)
 			h.poll(stream, f)
@@ -195,7 +195,7 @@
 	}
 	f.reading = true
 	began := s.now
-	if s.logDown || s.deaf[h.name] {
+	if s.logDown || s.cannotRead[h.name] {
 		h.later(simTimeout, func() {
 			f.reading = false
 			if !f.stopped {
@@ -225,18 +225,18 @@
 func (h *simHost) send(a Send) {
 	s := h.sim
 	s.messages++
-	if s.cut[h.name] || s.cut[a.To] || s.hosts[a.To] == nil {
+	if s.isolated[h.name] || s.isolated[a.To] || s.hosts[a.To] == nil {
 		return
 	}
 	b := messenger.Encode(a.Message)
 	to := s.hosts[a.To]
-	life := to.life
+	generation := to.generation
 	from := h.name
 	s.after(simHop+time.Duration(s.rng.IntN(500))*time.Microsecond, func() {
-		to.in(life, func() {
+		to.runIn(generation, func() {
 			m, err := messenger.Decode(b)
 			if err != nil {
-				s.broken("message of %s: %v", from, err)
+				s.violation("message of %s: %v", from, err)
 				return
 			}
 			to.handle(PeerMessage{From: from, Message: m})
@@ -244,7 +244,7 @@
 	})
 }
 
-// settle does what the server does with a verdict: dispatch once if it may.
+// settle dispatches the request of a won claim, as the server does.
 func (h *simHost) settle(v claimer.Settled) {
 	s := h.sim
 	a := h.claims[v.Nonce]
@@ -269,19 +269,19 @@
 		finish(claimer.StateNotRun, claimer.VerdictUnavailable)
 		return
 	}
-	luck := 7
+	outcome := 7
 	if s.flaky {
-		luck = s.rng.IntN(8)
+		outcome = s.rng.IntN(8)
 	}
-	switch luck {
-	case 0: // no connection: it did not run
+	switch outcome {
+	case 0: // no connection: the request did not run
 		finish(claimer.StateNotRun, claimer.VerdictUnavailable)
 		return
-	case 1: // it runs and the answer is lost
-		s.execute(a)
-		h.later(simService, func() { finish(claimer.StateUnknown, claimer.VerdictUnknown) })
+	case 1: // the request runs and its answer is lost
+		s.recordRun(a)
+		h.later(simServiceTime, func() { finish(claimer.StateUnknown, claimer.VerdictUnknown) })
 		return
 	}
-	s.execute(a)
-	h.later(simService, func() { finish(claimer.StateDone, claimer.VerdictWon) })
+	s.recordRun(a)
+	h.later(simServiceTime, func() { finish(claimer.StateDone, claimer.VerdictWon) })
 }
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -16,36 +16,36 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// simulation drives several nodes in virtual time over a log, links and hosts
-// that fail as a schedule says. It is deterministic for a seed.
+// simulation runs several nodes in virtual time with a log, links and hosts that can
+// fail. It is deterministic for a seed.
 type simulation struct {
 	rng   *rand.Rand
 	now   time.Time
 	queue simQueue
 	seq   uint64
 
-	hosts   map[string]*simHost
-	names   []string
-	streams map[string]*simStream
-	logDown bool
-	logSlow time.Duration
-	flaky   bool            // flaky lets some dispatches fail.
-	lose    float64         // lose is the share of appends whose answer is lost.
-	cut     map[string]bool // cut holds hosts that peers cannot reach.
-	deaf    map[string]bool // deaf holds hosts that cannot read the log.
-	mute    map[string]bool // mute holds hosts that cannot append to it.
-	hold    map[string]bool // hold holds hosts whose appends arrive late and without answer.
+	hosts        map[string]*simHost
+	names        []string
+	streams      map[string]*simStream
+	logDown      bool
+	logSlow      time.Duration
+	flaky        bool            // flaky makes some dispatches fail.
+	ackLoss      float64         // ackLoss is the probability that the answer to an append is lost.
+	isolated     map[string]bool // isolated are the hosts without connections to peers.
+	cannotRead   map[string]bool // cannotRead are the hosts that cannot read the log.
+	cannotAppend map[string]bool // cannotAppend are the hosts that cannot append to the log.
+	lateAppends  map[string]bool // lateAppends are the hosts whose appends are delayed and get no answer.
 
-	engines map[string]*simEngine
-	peak    int // peak is the largest number of engines that loaded at once.
+	engines   map[string]*simEngine
+	peakLoads int // peakLoads is the maximum number of engines that loaded concurrently.
 
-	appends  int
-	messages int
-	runs     map[claimer.Key]int // runs counts executions by key.
-	ran      map[string]bool     // ran holds the nonces that were dispatched.
-	attempts []*simAttempt
-	results  map[string]configurer.Result
-	faults   []string // faults are broken promises.
+	appends    int
+	messages   int
+	runs       map[claimer.Key]int // runs is the number of executions by key.
+	dispatched map[string]bool     // dispatched has the nonces of executed attempts.
+	attempts   []*simAttempt
+	results    map[string]configurer.Result
+	violations []string // violations are the violated invariants.
 }
 
 type simStream struct {
@@ -55,43 +55,43 @@
 
 // simAttempt is one request that may run only once.
 type simAttempt struct {
-	key     claimer.Key
-	nonce   string
-	host    string
-	first   bool // first tells that no other attempt used the key before.
-	settled *claimer.Settled
-	at      time.Time
-	end     time.Time
-	life    int
+	key        claimer.Key
+	nonce      string
+	host       string
+	first      bool // first reports whether no earlier attempt used the key.
+	settled    *claimer.Settled
+	at         time.Time
+	end        time.Time
+	generation int
 }
 
 const (
-	simLatency  = 2 * time.Millisecond
-	simHop      = time.Millisecond
-	simTimeout  = 500 * time.Millisecond
-	simService  = 30 * time.Millisecond
-	simPoll     = 2 * time.Second
-	simTick     = 50 * time.Millisecond
-	simRetained = time.Hour
-	simHeld     = 6 * time.Second // simHeld is longer than a lease, so that another host has taken over.
+	simLatency      = 2 * time.Millisecond
+	simHop          = time.Millisecond
+	simTimeout      = 500 * time.Millisecond
+	simServiceTime  = 30 * time.Millisecond
+	simPollInterval = 2 * time.Second
+	simTickInterval = 50 * time.Millisecond
+	simRetention    = time.Hour
+	simAppendDelay  = 6 * time.Second // simAppendDelay is longer than a lease, so that another host takes over.
 )
 
 var simStart = time.Date(2026, 3, 12, 8, 0, 0, 0, time.UTC)
 
 func newSimulation(seed uint64, hosts int) *simulation {
 	s := &simulation{
-		rng:     rand.New(rand.NewPCG(seed, 7)),
-		now:     simStart,
-		hosts:   make(map[string]*simHost),
-		streams: make(map[string]*simStream),
-		cut:     make(map[string]bool),
-		deaf:    make(map[string]bool),
-		mute:    make(map[string]bool),
-		hold:    make(map[string]bool),
-		runs:    make(map[claimer.Key]int),
-		ran:     make(map[string]bool),
-		results: make(map[string]configurer.Result),
-		engines: make(map[string]*simEngine),
+		rng:          rand.New(rand.NewPCG(seed, 7)),
+		now:          simStart,
+		hosts:        make(map[string]*simHost),
+		streams:      make(map[string]*simStream),
+		isolated:     make(map[string]bool),
+		cannotRead:   make(map[string]bool),
+		cannotAppend: make(map[string]bool),
+		lateAppends:  make(map[string]bool),
+		runs:         make(map[claimer.Key]int),
+		dispatched:   make(map[string]bool),
+		results:      make(map[string]configurer.Result),
+		engines:      make(map[string]*simEngine),
 	}
 	for i := range hosts {
 		name := fmt.Sprintf("host-%d", i+1)
@@ -131,8 +131,8 @@
 	heap.Push(&s.queue, simEvent{at: s.now.Add(d), seq: s.seq, f: f})
 }
 
-// run lets a time pass.
-func (s *simulation) run(d time.Duration) {
+// advance runs the simulation for a duration.
+func (s *simulation) advance(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
 		e := heap.Pop(&s.queue).(simEvent)
@@ -142,16 +142,16 @@
 	s.now = end
 }
 
-func (s *simulation) broken(format string, args ...any) {
-	s.faults = append(s.faults, fmt.Sprintf("%s: ", s.now.Sub(simStart))+fmt.Sprintf(format, args...))
+func (s *simulation) violation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%s: ", s.now.Sub(simStart))+fmt.Sprintf(format, args...))
 }
 
-// start starts a host's process anew.
+// start starts a new process of a host.
 func (s *simulation) start(name string) {
 	h := s.hosts[name]
 	h.started++
-	h.life++
-	h.alive, h.paused, h.held = true, false, nil
+	h.generation++
+	h.alive, h.paused, h.deferred = true, false, nil
 	h.follows = make(map[string]*simFollow)
 	h.claims = make(map[string]*simAttempt)
 	h.node = NewNode(Options{
@@ -161,20 +161,20 @@
 		Registry:     &publisher.Registry{},
 		GroupCommit:  10 * time.Millisecond,
 		Heartbeat:    500 * time.Millisecond,
-		Suspect:      2 * time.Second,
+		SuspectAfter: 2 * time.Second,
 		Lease:        3 * time.Second,
 		LeaseMargin:  500 * time.Millisecond,
-		LogRetention: simRetained,
+		LogRetention: simRetention,
 	})
-	h.carryOut(h.node.Start(s.now))
-	h.tick(h.life)
-	h.listed(h.life)
-	h.watch(h.life)
+	h.execute(h.node.Start(s.now))
+	h.tick(h.generation)
+	h.pollHostList(h.generation)
+	h.pollLoads(h.generation)
 }
 
 func (s *simulation) kill(name string) {
 	h := s.hosts[name]
-	h.life++
+	h.generation++
 	h.alive = false
 }
 
@@ -183,9 +183,9 @@
 func (s *simulation) resume(name string) {
 	h := s.hosts[name]
 	h.paused = false
-	held := h.held
-	h.held = nil
-	for _, f := range held {
+	deferred := h.deferred
+	h.deferred = nil
+	for _, f := range deferred {
 		f()
 	}
 }
@@ -199,7 +199,7 @@
 	return st
 }
 
-func (s *simulation) land(name string, body []byte) {
+func (s *simulation) commit(name string, body []byte) {
 	st := s.stream(name)
 	s.appends++
 	st.records = append(st.records, folder.Raw{Offset: st.earliest + uint64(len(st.records)), Time: s.now, Body: body})
@@ -211,7 +211,7 @@
 	}
 }
 
-// expire drops all records of a stream but the newest keep.
+// expire drops all but the last keep records of a stream.
 func (s *simulation) expire(name string, keep int) {
 	st := s.stream(name)
 	if n := len(st.records) - keep; n > 0 {
@@ -223,13 +223,13 @@
 // claim sends a request that may run only once through a host.
 func (s *simulation) claim(host, key string, first bool, wait time.Duration) *simAttempt {
 	h := s.hosts[host]
-	a := &simAttempt{key: claimer.NewKey("w", key), nonce: fmt.Sprintf("%s/%d", host, s.seq), host: host, first: first, at: s.now, life: h.life}
+	a := &simAttempt{key: claimer.NewKey("w", key), nonce: fmt.Sprintf("%s/%d", host, s.seq), host: host, first: first, at: s.now, generation: h.generation}
 	s.seq++
 	if !h.alive {
 		return a
 	}
 	s.attempts = append(s.attempts, a)
-	h.in(h.life, func() {
+	h.runIn(h.generation, func() {
 		h.claims[a.nonce] = a
 		r := claimer.Request{Key: a.key, Digest: claimer.NewDigest("POST", "/", []byte(key)), Nonce: a.nonce}
 		h.handle(ClaimStarted{Request: r, Deadline: s.now.Add(wait)})
@@ -237,24 +237,24 @@
 	return a
 }
 
-func (s *simulation) execute(a *simAttempt) {
+func (s *simulation) recordRun(a *simAttempt) {
 	s.runs[a.key]++
-	s.ran[a.nonce] = true
+	s.dispatched[a.nonce] = true
 	if s.runs[a.key] > 1 {
-		s.broken("key of %s ran %d times", a.nonce, s.runs[a.key])
+		s.violation("key of %s ran %d times", a.nonce, s.runs[a.key])
 	}
 }
 
-// mend ends all faults but those of hosts.
-func (s *simulation) mend() {
-	s.logDown, s.logSlow, s.lose = false, 0, 0
-	clear(s.cut)
-	clear(s.deaf)
-	clear(s.mute)
-	clear(s.hold)
+// clearFaults ends all faults of the log and of links.
+func (s *simulation) clearFaults() {
+	s.logDown, s.logSlow, s.ackLoss = false, 0, 0
+	clear(s.isolated)
+	clear(s.cannotRead)
+	clear(s.cannotAppend)
+	clear(s.lateAppends)
 }
 
-// check looks for broken promises at the end of a run.
+// check returns the violated invariants at the end of a run.
 func (s *simulation) check() []string {
 	used := make(map[claimer.Key]int)
 	for _, a := range s.attempts {
@@ -265,25 +265,25 @@
 			continue
 		}
 		switch {
-		case a.settled.Verdict == claimer.VerdictUnavailable && s.ran[a.nonce]:
-			s.broken("attempt %s was refused as not run and ran", a.nonce)
+		case a.settled.Verdict == claimer.VerdictUnavailable && s.dispatched[a.nonce]:
+			s.violation("attempt %s was refused as not run and ran", a.nonce)
 		case a.settled.Verdict == claimer.VerdictUnavailable && a.first && used[a.key] == 1 && s.runs[a.key] > 0:
-			s.broken("the only attempt %s was refused as not run and ran", a.nonce)
+			s.violation("the only attempt %s was refused as not run and ran", a.nonce)
 		case a.settled.Verdict == claimer.VerdictDone && s.runs[a.key] != 1:
-			s.broken("attempt %s was told its key was done, and it ran %d times", a.nonce, s.runs[a.key])
+			s.violation("attempt %s got verdict done, but its key ran %d times", a.nonce, s.runs[a.key])
 		}
 	}
-	return s.faults
+	return s.violations
 }
 
-// publish publishes a change that sets a model's version, on the revision that
-// a host has in force.
+// publish publishes a change of a model's version, based on the revision that a host
+// has in force.
 func (s *simulation) publish(host, id, version string) {
 	h := s.hosts[host]
 	if !h.alive {
 		return
 	}
-	h.in(h.life, func() {
+	h.runIn(h.generation, func() {
 		cfg := h.node.Configuration()
 		doc := cfg.Document()
 		if doc == nil {
@@ -291,7 +291,7 @@
 		}
 		d, err := configurer.NewDelta(id, host, cfg.Revision(), cfg.Document(), doc.WithModelVersion("m", version))
 		if err != nil {
-			s.broken("delta: %v", err)
+			s.violation("delta: %v", err)
 			return
 		}
 		h.handle(ChangePublished{Delta: d})
--- a/controller/stores.go
+++ b/controller/stores.go
@@ -14,20 +14,20 @@
 	"amaranthgate.example/amaranthgate/orderer"
 )
 
-// askKept is the interval between two questions for what stores hold.
-const askKept = time.Second
+// cacheQueryInterval is the interval of queries to issuers for the contents of stores.
+const cacheQueryInterval = time.Second
 
-// issuedStore is an issuer's plan for one upstream's store.
-type issuedStore struct {
+// cacheStore is an issuer's state of the KV cache store of one upstream.
+type cacheStore struct {
 	plan        *keeper.Store
 	incarnation uint64
 	next        uint64 // next is the sequence number of the next cache event.
-	settled     bool   // settled tells that nobody else can change the store any more.
-	fenced      bool   // fenced tells that the upstream has seen this issuer's fencing number.
-	read        bool   // read tells that all segments were read since.
+	exclusive   bool   // exclusive reports whether no other issuer can change the store any more.
+	fenced      bool   // fenced reports whether the upstream has accepted this issuer's fencing number.
+	listed      bool   // listed reports whether all segments have been read since.
 }
 
-// tickStores carries on the plans of a group's stores.
+// tickStores issues the orders that are due for the stores of a group.
 func (n *Node) tickStores(now time.Time, doc *configurer.Document, g int) {
 	gr := n.groups[g]
 	for i := range doc.Upstreams {
@@ -37,15 +37,15 @@
 		}
 		st := gr.stores[u.Name]
 		if st == nil {
-			st = newIssuedStore(u)
+			st = newCacheStore(u)
 			gr.stores[u.Name] = st
 		}
 		n.tickStore(now, gr, u, st)
 	}
 }
 
-func newIssuedStore(u *configurer.Upstream) *issuedStore {
-	return &issuedStore{
+func newCacheStore(u *configurer.Upstream) *cacheStore {
+	return &cacheStore{
 		plan: keeper.NewStore(keeper.StoreOptions{
 			Capacity:   u.StoreBlocks,
 			BlockBytes: u.BytesPerToken * keeper.TokensPerBlock,
@@ -54,17 +54,17 @@
 	}
 }
 
-func (n *Node) tickStore(now time.Time, gr *group, u *configurer.Upstream, st *issuedStore) {
+func (n *Node) tickStore(now time.Time, gr *issuerGroup, u *configurer.Upstream, st *cacheStore) {
 	if !gr.issuer.MayOrder(now, u.ChecksFencing) {
 		return
 	}
 	if u.ChecksFencing && !st.fenced {
-		// An empty order makes the upstream refuse the issuer before this one.
-		n.issue(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderFree}})
+		// An empty order makes the upstream reject orders of earlier issuers.
+		n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderFree}})
 		return
 	}
-	st.settled = true
-	if !st.read {
+	st.exclusive = true
+	if !st.listed {
 		return
 	}
 	plan := st.plan.Tick(now)
@@ -76,11 +76,11 @@
 		for _, r := range plan.Free {
 			o.Segments = append(o.Segments, wire.SegmentRef{Name: keeper.WireName(r.Wire), Generation: r.Generation})
 		}
-		n.issue(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
+		n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
 	}
 }
 
-func (n *Node) export(now time.Time, gr *group, u *configurer.Upstream, st *issuedStore, e keeper.Export) {
+func (n *Node) export(now time.Time, gr *issuerGroup, u *configurer.Upstream, st *cacheStore, e keeper.Export) {
 	o := wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderExport, From: e.From}
 	if e.From > 0 {
 		o.Parent = keeper.WireName(e.Parent)
@@ -88,39 +88,40 @@
 	for _, b := range e.Blocks {
 		o.Blocks = append(o.Blocks, keeper.WireName(b))
 	}
-	n.issue(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
+	n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
 }
 
-// storeOrderDone notes that an upstream has accepted this issuer's number.
-func (n *Node) storeOrderDone(_ time.Time, gr *group, ev OrderDone) {
+// storeOrderDone records that an upstream has accepted this issuer's fencing number.
+func (n *Node) storeOrderDone(_ time.Time, gr *issuerGroup, ev OrderDone) {
 	if st := gr.stores[ev.Upstream]; st != nil && ev.Order.Fencing == gr.issuer.Epoch() {
 		st.fenced = true
 	}
 }
 
-// CacheQuestion is what to ask an upstream about its cache.
-type CacheQuestion struct {
+// CacheRequest is a request to an upstream for its cache events or segments.
+type CacheRequest struct {
 	Upstream string
 	Address  string
-	All      bool   // All asks for all segments.
-	From     uint64 // From is the sequence number of the first event wanted.
+	All      bool   // All requests all segments instead of events.
+	From     uint64 // From is the sequence number of the first event.
 }
 
-// CacheQuestions returns what to ask upstreams about their caches.
-func (n *Node) CacheQuestions() []CacheQuestion {
+// CacheRequests returns the requests to send to the upstreams that this host issues
+// orders to.
+func (n *Node) CacheRequests() []CacheRequest {
 	doc := n.config.Document()
 	if doc == nil {
 		return nil
 	}
-	var out []CacheQuestion
+	var out []CacheRequest
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
 		gr := n.groups[groupOf(u.Name)]
-		if gr == nil || gr.stores[u.Name] == nil || !gr.stores[u.Name].settled {
+		if gr == nil || gr.stores[u.Name] == nil || !gr.stores[u.Name].exclusive {
 			continue
 		}
 		st := gr.stores[u.Name]
-		out = append(out, CacheQuestion{Upstream: u.Name, Address: u.Address, All: !st.read, From: st.next})
+		out = append(out, CacheRequest{Upstream: u.Name, Address: u.Address, All: !st.listed, From: st.next})
 	}
 	return out
 }
@@ -133,37 +134,38 @@
 	st := gr.stores[ev.Upstream]
 	switch {
 	case ev.Segments != nil:
-		n.allRead(now, ev.Upstream, st, ev.Segments)
+		n.segmentsListed(now, ev.Upstream, st, ev.Segments)
 	case ev.Events != nil && ev.Events.Incarnation != st.incarnation:
-		st.read = false // started anew: ask for all
+		st.listed = false // the upstream restarted: request all segments
 	case ev.Events != nil && len(ev.Events.Events) > 0 && ev.Events.Events[0].Sequence > st.next:
-		st.read = false // events were lost: ask for all
+		st.listed = false // events were lost: request all segments
 	case ev.Events != nil:
 		for _, e := range ev.Events.Events {
-			st.event(now, e)
+			st.applyEvent(now, e)
 		}
 		st.next = ev.Events.Next
 	}
 }
 
-// allRead begins the plan of a store anew with what the upstream says.
-func (n *Node) allRead(now time.Time, upstream string, st *issuedStore, all *wire.KeptSegments) {
-	if doc := n.config.Document(); doc != nil && (st.incarnation != all.Incarnation || !st.read) {
+// segmentsListed applies the segments of a store. It starts a new plan if the
+// upstream restarted or events were lost.
+func (n *Node) segmentsListed(now time.Time, upstream string, st *cacheStore, all *wire.KeptSegments) {
+	if doc := n.config.Document(); doc != nil && (st.incarnation != all.Incarnation || !st.listed) {
 		for i := range doc.Upstreams {
 			if doc.Upstreams[i].Name == upstream {
-				fresh := newIssuedStore(&doc.Upstreams[i])
+				fresh := newCacheStore(&doc.Upstreams[i])
 				st.plan.Replace(fresh.plan)
 			}
 		}
 	}
-	st.incarnation, st.next, st.read = all.Incarnation, all.Next, true
+	st.incarnation, st.next, st.listed = all.Incarnation, all.Next, true
 	sort.Slice(all.Segments, func(i, j int) bool { return all.Segments[i].From < all.Segments[j].From })
 	for _, e := range all.Segments {
-		st.event(now, e)
+		st.applyEvent(now, e)
 	}
 }
 
-func (st *issuedStore) event(now time.Time, e wire.CacheEvent) {
+func (st *cacheStore) applyEvent(now time.Time, e wire.CacheEvent) {
 	raw, ok := keeper.ParseWire(e.Block)
 	if !ok {
 		return
@@ -177,7 +179,7 @@
 	}
 }
 
-// turnEnded passes the end of a turn to the issuer of its upstream.
+// turnEnded passes a turn to the issuer of its upstream.
 func (n *Node) turnEnded(now time.Time, from string, t keeper.Turn) {
 	g := groupOf(t.Upstream)
 	holder := n.holderOf(groupLease(g))
@@ -187,84 +189,84 @@
 			gr.stores[t.Upstream].plan.Turn(now, t)
 		}
 	case holder != "" && from == n.opts.Self.Host:
-		n.turns[holder] = append(n.turns[holder], t)
+		n.pendingTurns[holder] = append(n.pendingTurns[holder], t)
 	}
 }
 
-// keptView is how far this host knows the stores.
-type keptView struct {
-	asked    time.Time
-	sequence uint64
-	pending  map[uint64]time.Time // pending is when each question was asked.
-	epochs   [upstreamGroups]uint64
-	versions map[string]uint64
+// cacheViews is the state of this host's queries for the contents of stores.
+type cacheViews struct {
+	lastQuery time.Time
+	sequence  uint64
+	pending   map[uint64]time.Time // pending is when each unanswered query was sent, by sequence number.
+	epochs    [upstreamGroups]uint64
+	versions  map[string]uint64
 }
 
-func newKeptView() keptView {
-	return keptView{pending: make(map[uint64]time.Time), versions: make(map[string]uint64)}
+func newCacheViews() cacheViews {
+	return cacheViews{pending: make(map[uint64]time.Time), versions: make(map[string]uint64)}
 }
 
-// tickKept asks the issuers for what the stores hold.
-func (n *Node) tickKept(now time.Time) {
+// queryCaches queries the issuers for the contents of the stores.
+func (n *Node) queryCaches(now time.Time) {
 	doc := n.config.Document()
-	if doc == nil || now.Sub(n.kept.asked) < askKept {
+	if doc == nil || now.Sub(n.caches.lastQuery) < cacheQueryInterval {
 		return
 	}
-	n.kept.asked = now
-	for seq, at := range n.kept.pending {
+	n.caches.lastQuery = now
+	for seq, at := range n.caches.pending {
 		if now.Sub(at) > keeper.KeptLease {
-			delete(n.kept.pending, seq)
+			delete(n.caches.pending, seq)
 		}
 	}
 	for g := range upstreamGroups {
-		ask := messenger.KeptAsk{Group: g, Epoch: n.kept.epochs[g]}
+		query := messenger.KeptAsk{Group: g, Epoch: n.caches.epochs[g]}
 		for i := range doc.Upstreams {
 			u := &doc.Upstreams[i]
 			if u.StoreBlocks > 0 && groupOf(u.Name) == g {
-				ask.Upstreams = append(ask.Upstreams, messenger.KeptVersion{Upstream: u.Name, Version: n.kept.versions[u.Name]})
+				query.Upstreams = append(query.Upstreams, messenger.KeptVersion{Upstream: u.Name, Version: n.caches.versions[u.Name]})
 			}
 		}
-		if len(ask.Upstreams) > 0 {
-			n.ask(now, ask)
+		if len(query.Upstreams) > 0 {
+			n.sendCacheQuery(now, query)
 		}
 	}
 }
 
-func (n *Node) ask(now time.Time, ask messenger.KeptAsk) {
-	n.kept.sequence++
-	ask.Sequence = n.kept.sequence
-	n.kept.pending[ask.Sequence] = now
-	switch to := n.holderOf(groupLease(ask.Group)); to {
+func (n *Node) sendCacheQuery(now time.Time, query messenger.KeptAsk) {
+	n.caches.sequence++
+	query.Sequence = n.caches.sequence
+	n.caches.pending[query.Sequence] = now
+	switch to := n.holderOf(groupLease(query.Group)); to {
 	case "":
 	case n.opts.Self.Host:
-		n.keptAsked(now, to, ask)
+		n.cacheQueried(now, to, query)
 	default:
-		n.do(Send{To: to, Message: &messenger.Message{KeptAsk: &ask}})
+		n.emit(Send{To: to, Message: &messenger.Message{KeptAsk: &query}})
 	}
 }
 
-// keptAsked answers a host's question as issuer.
-func (n *Node) keptAsked(now time.Time, from string, ask messenger.KeptAsk) {
-	if ask.Group < 0 || ask.Group >= upstreamGroups {
+// cacheQueried answers a host's query as the issuer of a group.
+func (n *Node) cacheQueried(now time.Time, from string, query messenger.KeptAsk) {
+	if query.Group < 0 || query.Group >= upstreamGroups {
 		return
 	}
-	gr := n.groups[ask.Group]
-	epoch, ok := n.holder.Valid(now, groupLease(ask.Group))
+	gr := n.groups[query.Group]
+	epoch, ok := n.holder.Valid(now, groupLease(query.Group))
 	if gr == nil || !ok || gr.issuer.Epoch() != epoch {
 		return
 	}
-	tell := messenger.KeptTell{Sequence: ask.Sequence, Group: ask.Group, Epoch: epoch}
-	for _, u := range ask.Upstreams {
+	reply := messenger.KeptTell{Sequence: query.Sequence, Group: query.Group, Epoch: epoch}
+	for _, u := range query.Upstreams {
 		st := gr.stores[u.Upstream]
-		if st == nil || !st.settled || !st.read {
+		if st == nil || !st.exclusive || !st.listed {
 			continue
 		}
 		version := u.Version
-		if ask.Epoch != epoch {
-			version = st.plan.Version() + 1 // of another issuer: tell all
+		if query.Epoch != epoch {
+			version = st.plan.Version() + 1 // a version of another issuer: send all segments
 		}
 		changes, full := st.plan.Since(version)
-		tell.Stores = append(tell.Stores, messenger.KeptStore{
+		reply.Stores = append(reply.Stores, messenger.KeptStore{
 			Upstream: u.Upstream,
 			Version:  st.plan.Version(),
 			Full:     full,
@@ -272,28 +274,28 @@
 		})
 	}
 	if from == n.opts.Self.Host {
-		n.keptTold(now, tell)
+		n.cacheReplied(now, reply)
 		return
 	}
-	n.do(Send{To: from, Message: &messenger.Message{KeptTell: &tell}})
+	n.emit(Send{To: from, Message: &messenger.Message{KeptTell: &reply}})
 }
 
-// keptTold takes an issuer's answer. What it tells may be offered for as long
-// as the lease on it, counted from the question.
-func (n *Node) keptTold(_ time.Time, tell messenger.KeptTell) {
-	asked, ok := n.kept.pending[tell.Sequence]
-	if !ok || tell.Group < 0 || tell.Group >= upstreamGroups || tell.Epoch < n.kept.epochs[tell.Group] {
+// cacheReplied handles an issuer's reply. Its segments may be used for
+// keeper.KeptLease after the query was sent.
+func (n *Node) cacheReplied(_ time.Time, reply messenger.KeptTell) {
+	sentAt, ok := n.caches.pending[reply.Sequence]
+	if !ok || reply.Group < 0 || reply.Group >= upstreamGroups || reply.Epoch < n.caches.epochs[reply.Group] {
 		return
 	}
-	delete(n.kept.pending, tell.Sequence)
-	n.kept.epochs[tell.Group] = tell.Epoch
-	for _, s := range tell.Stores {
-		n.kept.versions[s.Upstream] = s.Version
-		n.do(KeptChanged{
+	delete(n.caches.pending, reply.Sequence)
+	n.caches.epochs[reply.Group] = reply.Epoch
+	for _, s := range reply.Stores {
+		n.caches.versions[s.Upstream] = s.Version
+		n.emit(CacheChanged{
 			Upstream: s.Upstream,
 			Full:     s.Full,
 			Changes:  s.Changes,
-			Until:    asked.Add(keeper.KeptLease),
+			Until:    sentAt.Add(keeper.KeptLease),
 		})
 	}
 }
--- a/controller/view.go
+++ b/controller/view.go
@@ -12,10 +12,10 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// View returns the newest snapshot for traffic.
+// View returns the latest snapshot for the request path.
 func (n *Node) View() *publisher.Snapshot { return n.view }
 
-// refreshView makes a new snapshot if something changed, at most once in each
+// refreshView makes a new snapshot if something changed, at most once per
 // viewInterval.
 func (n *Node) refreshView(now time.Time) {
 	if !n.viewDirty || now.Sub(n.viewAt) < viewInterval {
@@ -24,7 +24,7 @@
 	n.viewDirty = false
 	n.viewAt = now
 	n.view = n.snapshot(now)
-	n.do(ViewChanged{})
+	n.emit(ViewChanged{})
 }
 
 func (n *Node) snapshot(now time.Time) *publisher.Snapshot {
@@ -36,7 +36,7 @@
 	s.Ready = n.Ready()
 	s.Leaving = n.leaving
 	s.Addresses = n.addresses()
-	peers, fresh := n.livePeers(now)
+	peers, fresh := n.peerCounts(now)
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
 		n.addUpstream(s, u, peerLoad(peers, fresh, u.Name))
@@ -49,7 +49,8 @@
 	return s
 }
 
-// baseSnapshot reuses the index of workspaces while the document is the same.
+// baseSnapshot returns a snapshot without pools. It reuses the index of workspaces
+// while the document is the same.
 func (n *Node) baseSnapshot(doc *configurer.Document) *publisher.Snapshot {
 	if n.view != nil && n.view.Document == doc {
 		return n.view.WithoutPools()
@@ -57,7 +58,7 @@
 	return publisher.NewSnapshot(doc, n.config.Revision())
 }
 
-// addresses returns the hosts that callers may use.
+// addresses returns the addresses of the hosts that callers may use.
 func (n *Node) addresses() []publisher.Address {
 	var out []publisher.Address
 	for _, r := range n.hosts.All() {
@@ -73,7 +74,7 @@
 	return out
 }
 
-// addUpstream puts an upstream into the pools that it belongs to.
+// addUpstream adds an upstream to its pools.
 func (n *Node) addUpstream(s *publisher.Snapshot, u *configurer.Upstream, peers router.PeerLoad) {
 	record, digest, _ := n.upstreams.Lookup(u.Name)
 	in := n.opts.Registry.Get(u.Name)
@@ -90,7 +91,7 @@
 			Running:       digest.Running,
 			Waiting:       digest.Waiting,
 			WaitingTokens: digest.WaitingTokens,
-			Base:          n.marks[u.Name].mark,
+			Base:          n.loadMarks[u.Name].mark,
 		},
 		Peers: peers,
 		Meter: &in.Meter,
@@ -128,8 +129,8 @@
 	return out
 }
 
-// serves reports whether an upstream has the version in force. Before its first
-// report it is trusted to have it.
+// serves reports whether an upstream has loaded the version in force. This is assumed
+// before its first load report.
 func serves(doc *configurer.Document, d tracker.LoadDigest, model string, loaded []string) bool {
 	if d.Stamp == 0 {
 		return true
--- a/runner/host.go
+++ b/runner/host.go
@@ -128,7 +128,7 @@
 		Registry:     h.registry,
 		GroupCommit:  t.GroupCommit.Std(),
 		Heartbeat:    t.Heartbeat.Std(),
-		Suspect:      t.Suspect.Std(),
+		SuspectAfter: t.Suspect.Std(),
 		Lease:        t.Lease.Std(),
 		LeaseMargin:  t.LeaseMargin.Std(),
 		LogRetention: t.LogRetention.Std(),
--- a/runner/knowledge.go
+++ b/runner/knowledge.go
@@ -118,7 +118,7 @@
 	k.post(controller.TurnEnded{Turn: t})
 }
 
-func (k *knowledge) keptChanged(a controller.KeptChanged) {
+func (k *knowledge) keptChanged(a controller.CacheChanged) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if a.Full {
--- a/runner/loop.go
+++ b/runner/loop.go
@@ -129,9 +129,9 @@
 		case controller.SetLimit:
 			l.host.limiter.Configure(l.host.timer.Now(), a.Workspace, a.Limit)
 			l.host.urger.changed(a.Workspace)
-		case controller.Issue:
+		case controller.SendOrder:
 			go l.host.issue(a)
-		case controller.KeptChanged:
+		case controller.CacheChanged:
 			l.host.knowledge.keptChanged(a)
 		case controller.PlacementsLearned:
 			l.host.knowledge.learned(l.host.timer.Now(), a.Placements)
--- a/runner/poll.go
+++ b/runner/poll.go
@@ -104,8 +104,8 @@
 func (h *Host) pollCaches() {
 	client := &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for h.ctx.Err() == nil {
-		var questions []controller.CacheQuestion
-		h.loop.call(func(_ time.Time, n *controller.Node) { questions = n.CacheQuestions() })
+		var questions []controller.CacheRequest
+		h.loop.call(func(_ time.Time, n *controller.Node) { questions = n.CacheRequests() })
 		var all sync.WaitGroup
 		for _, q := range questions {
 			all.Add(1)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (h *Host) askCache(client *http.Client, q controller.CacheQuestion) {
+func (h *Host) askCache(client *http.Client, q controller.CacheRequest) {
 	ev := controller.CacheRead{Upstream: q.Upstream}
 	if q.All {
 		var all wire.KeptSegments
@@ -144,7 +144,7 @@
 var orderClient = &http.Client{Timeout: orderTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}
 
 // issue gives an order to an upstream unless the lease has run out meanwhile.
-func (h *Host) issue(a controller.Issue) {
+func (h *Host) issue(a controller.SendOrder) {
 	done := controller.OrderDone{Upstream: a.Upstream, Order: a.Order}
 	body, err := json.Marshal(a.Order)
 	if err == nil && h.timer.Now().Before(a.Until) {
