--- a/runner/callers_test.go
+++ b/runner/callers_test.go
@@ -28,21 +28,20 @@
 	"amaranthgate.example/amaranthgate/server"
 )
 
-var deploymentRefuse = emulator.EngineFault{Refuse: true}
+var refuseFault = emulator.EngineFault{Refuse: true}
 
-// inputCase is what a caller sends, byte for byte, and what it must get.
+// inputCase is the raw bytes that a caller sends and the expected response.
 type inputCase struct {
 	Name   string
-	Lines  []string // Lines are the lines of the request's head; Body follows.
+	Lines  []string // Lines are the request line and the headers.
 	Body   string
-	Repeat int // Repeat repeats the body.
+	Repeat int // Repeat is the number of times that Body is sent.
 	Slow   bool
 	Status int
 	Reason server.Reason
 }
 
-// TestBadInput sends what no caller should: each gets a clear answer, and no
-// upstream sees any of it.
+// TestBadInput checks that invalid requests get a clear error and reach no upstream.
 func TestBadInput(t *testing.T) {
 	raw, err := os.ReadFile("testdata/inputs.jsonc")
 	assert.NilError(t, err)
@@ -91,7 +90,7 @@
 	return resp.StatusCode, p, nil
 }
 
-// browser is an operator at the console, without scripts.
+// browser is an operator's HTTP client of the console, without JavaScript.
 type browser struct {
 	t    *testing.T
 	host string
@@ -117,7 +116,7 @@
 
 var inputTag = regexp.MustCompile(`<input type="(hidden|text)"[^>]*name="([^"]+)" value="([^"]*)"`)
 
-// form reads the fields of the first form of a page that posts to a path.
+// form returns the fields of the first form in a page that posts to a path.
 func form(page, action string) url.Values {
 	out := url.Values{}
 	_, rest, _ := strings.Cut(page, `action="`+action+`"`)
@@ -128,8 +127,8 @@
 	return out
 }
 
-// TestConsole lets an operator change a workspace by forms, lose a race, see
-// both sides and put the change on the revision that won.
+// TestConsole changes a model through the console's forms: a conflict with another
+// operator's change shows both sides, and the rebased change is applied once.
 func TestConsole(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 1})
 	b := browser{t: t, host: d.Hosts[0].Addresses().Operators}
@@ -147,21 +146,21 @@
 	assert.Equal(t, status, 200, review)
 	assert.Assert(t, strings.Contains(review, "/Models/"+deployment.Model+"/Version"), review)
 
-	// Another operator is faster, at another host.
+	// Another operator publishes first.
 	assert.NilError(t, d.Publish(t.Context(), func(doc *configurer.Document) { doc.Retry.Attempts = 4 }))
 	status, conflict := b.do(http.MethodPost, "/publish", form(review, "/publish"))
 	assert.Equal(t, status, 409, conflict)
 	assert.Assert(t, strings.Contains(conflict, "Your change was not applied"), conflict)
-	assert.Assert(t, strings.Contains(conflict, "change-1"), conflict) // who won
-	assert.Assert(t, strings.Contains(conflict, "v9"), conflict)       // what was lost
+	assert.Assert(t, strings.Contains(conflict, "change-1"), conflict) // the ID of the other change
+	assert.Assert(t, strings.Contains(conflict, "v9"), conflict)       // the rejected value
 
 	status, rebased := b.do(http.MethodPost, "/rebase", form(conflict, "/rebase"))
 	assert.Equal(t, status, 200, rebased)
 	carry := form(rebased, "/publish")
 	status, result := b.do(http.MethodPost, "/publish", carry)
 	if status == http.StatusAccepted {
-		// The log has not answered in the console's time, which it says truthfully.
-		// The operator asks by the change's name, as the page says, until it is known.
+		// The log did not answer within the console's timeout. The page says to query
+		// the change by its ID.
 		eventually(t, "the change is known by its name", func() bool {
 			_, result = b.get("/change?ID=" + carry.Get("ID"))
 			return strings.Contains(result, "Accepted")
@@ -175,11 +174,11 @@
 	assert.Equal(t, m.Version, "v9")
 	assert.Equal(t, doc.Retry.Attempts, 4)
 
-	// The answer was lost: ask, and publish again; it is not applied twice.
-	_, asked := b.get("/change?ID=" + carry.Get("ID"))
-	assert.Assert(t, strings.Contains(asked, "Accepted"), asked)
-	_, again := b.do(http.MethodPost, "/publish", carry)
-	assert.Assert(t, strings.Contains(again, "Accepted"), again)
+	// Publishing the same change again does not apply it twice.
+	_, known := b.get("/change?ID=" + carry.Get("ID"))
+	assert.Assert(t, strings.Contains(known, "Accepted"), known)
+	_, repeated := b.do(http.MethodPost, "/publish", carry)
+	assert.Assert(t, strings.Contains(repeated, "Accepted"), repeated)
 	assert.Equal(t, d.Hosts[0].Current().Revision, uint64(3))
 
 	bad := form(edit, "/review")
@@ -190,15 +189,16 @@
 	assert.Assert(t, strings.Contains(refused, "is not a version"), refused)
 }
 
-// TestReport shows what was answered and refused, by workspace and class.
+// TestReport checks that the report counts answered and refused requests by
+// workspace and class.
 func TestReport(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 1, Services: 1})
-	must(t, d.Callers(0), prompt("report", 3, true))
-	must(t, d.Callers(1), booking("reported", "once"))
-	d.Services[0].SetFault(deploymentRefuse)
-	must(t, d.Callers(2), booking("refused", "never"))
+	mustSend(t, d.Callers(0), prompt("report", 3, true))
+	mustSend(t, d.Callers(1), booking("reported", "once"))
+	d.Services[0].SetFault(refuseFault)
+	mustSend(t, d.Callers(2), booking("refused", "never"))
 	b := browser{t: t, host: d.Hosts[1].Addresses().Operators}
-	eventually(t, "the report tells of both", func() bool {
+	eventually(t, "the report counts both", func() bool {
 		_, page := b.get("/report")
 		return strings.Contains(page, "UpstreamFailed 1") && strings.Contains(page, "<td>2</td><td>2</td>")
 	})
@@ -207,7 +207,8 @@
 	assert.Assert(t, strings.HasPrefix(svg, "<?xml") || strings.Contains(svg[:200], "<svg"))
 }
 
-// TestOperatorsOnly refuses everyone else, and dumps show no secret.
+// TestOperatorsOnly checks that operator pages require authentication and that the
+// state dump has no secrets.
 func TestOperatorsOnly(t *testing.T) {
 	d := start(t, deployment.Options{Hosts: 1, Engines: 1})
 	host := d.Hosts[0].Addresses().Operators
--- a/runner/control.go
+++ b/runner/control.go
@@ -16,8 +16,7 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// control gives operators access to the control goroutine. It implements
-// administrator.Control.
+// control implements administrator.Control by calls on the control goroutine.
 type control struct {
 	host *Host
 }
@@ -25,7 +24,7 @@
 // Current implements administrator.Control.
 func (c *control) Current() administrator.Current {
 	var cur administrator.Current
-	c.host.loop.call(func(_ time.Time, n *controller.Node) {
+	c.host.loop.do(func(_ time.Time, n *controller.Node) {
 		s := n.Configuration()
 		cur = administrator.Current{
 			Revision: s.Revision(),
@@ -44,7 +43,7 @@
 // Hosts implements administrator.Control.
 func (c *control) Hosts() []tracker.HostRecord {
 	var out []tracker.HostRecord
-	c.host.loop.call(func(_ time.Time, n *controller.Node) { out = n.Hosts() })
+	c.host.loop.do(func(_ time.Time, n *controller.Node) { out = n.Hosts() })
 	return out
 }
 
@@ -52,7 +51,7 @@
 func (c *control) Report() (reporter.Report, bool) {
 	var rep reporter.Report
 	var complete bool
-	c.host.loop.call(func(now time.Time, n *controller.Node) {
+	c.host.loop.do(func(now time.Time, n *controller.Node) {
 		rep, complete = n.Report(now)
 	})
 	return rep, complete
@@ -60,20 +59,20 @@
 
 // Dump is the state of a process.
 type Dump struct {
-	Settings loader.Settings // Settings have no secrets.
+	Settings loader.Settings // Settings are without secrets.
 	Control  controller.Dump
 	Traffic  TrafficDump
 	Peers    messenger.Traffic
 }
 
-// TrafficDump is the state of the goroutines that carry traffic.
+// TrafficDump is the state of the request path.
 type TrafficDump struct {
-	Open     int // Open is the number of requests under way.
+	Open     int // Open is the number of open requests.
 	Crossed  uint64
 	Revision uint64
 	Pools    []PoolDump
-	Hot      int // Hot is the number of entries of the index for accelerator memory.
-	Kept     int // Kept is the number of segments in stores that the index knows.
+	Hot      int // Hot is the number of index entries for accelerator memory.
+	Kept     int // Kept is the number of index entries for segments in stores.
 }
 
 // PoolDump is the state of one pool.
@@ -88,9 +87,9 @@
 func (c *control) dump() Dump {
 	h := c.host
 	d := Dump{Settings: h.settings.Redacted(), Peers: h.messenger.Traffic()}
-	h.loop.call(func(now time.Time, n *controller.Node) { d.Control = n.Dump(now) })
+	h.loop.do(func(now time.Time, n *controller.Node) { d.Control = n.Dump(now) })
 	d.Traffic = TrafficDump{Open: h.server.Open(), Crossed: h.forwarder.Crossed.Load(), Revision: h.publisher.Load().Revision}
-	d.Traffic.Hot, d.Traffic.Kept = h.knowledge.size()
+	d.Traffic.Hot, d.Traffic.Kept = h.cacheIndex.size()
 	for name, waiting := range h.server.Waiting() {
 		d.Traffic.Pools = append(d.Traffic.Pools, PoolDump{Pool: name, Waiting: waiting})
 	}
--- a/runner/host.go
+++ b/runner/host.go
@@ -29,42 +29,42 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Host is one process of the system.
+// Host is the process of one host.
 type Host struct {
 	settings loader.Settings
 	logger   zerolog.Logger
 	timer    timer.Service
 
-	log       *connector.Log
-	list      *connector.HostList
-	limiter   *limiter.Limiter
-	publisher *publisher.Publisher
-	registry  *publisher.Registry
-	budget    *retrier.Budget
-	forwarder *forwarder.Forwarder
-	messenger *messenger.Messenger
-	server    *server.Server
-	loop      *loop
-	outcomes  *outcomes
-	knowledge *knowledge
-	urger     *urger
+	log        *connector.Log
+	hostList   *connector.HostList
+	limiter    *limiter.Limiter
+	publisher  *publisher.Publisher
+	registry   *publisher.Registry
+	budget     *retrier.Budget
+	forwarder  *forwarder.Forwarder
+	messenger  *messenger.Messenger
+	server     *server.Server
+	loop       *loop
+	outcomes   *outcomeRecorder
+	cacheIndex *cacheIndex
+	shares     *shareRequester
 
 	callers, peers, operators net.Listener
 	peerServer, adminServer   *http.Server
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// Addresses are where a started host listens, as others are told.
+// Addresses are the advertised addresses of a started host.
 type Addresses struct {
 	Callers   string
 	Peers     string
 	Operators string
 }
 
-// New returns a host that does not listen yet.
+// New returns a host that is not started.
 func New(s loader.Settings, logger zerolog.Logger) *Host {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Host{
@@ -72,7 +72,7 @@
 		logger:    logger.With().Str("Host", s.Host).Logger(),
 		timer:     timer.NewSystem(),
 		log:       connector.NewLog(s.Log, s.Timing.LogTimeout.Std()),
-		list:      connector.NewHostList(s.HostList, s.Timing.LogTimeout.Std()),
+		hostList:  connector.NewHostList(s.HostList, s.Timing.LogTimeout.Std()),
 		limiter:   limiter.New(),
 		publisher: &publisher.Publisher{},
 		registry:  &publisher.Registry{},
@@ -83,7 +83,7 @@
 	}
 }
 
-// Start listens and joins the system.
+// Start opens the listeners and starts the servers and the control plane.
 func (h *Host) Start() error {
 	if err := h.listen(); err != nil {
 		return err
@@ -100,9 +100,9 @@
 	}
 	node := controller.NewNode(h.nodeOptions(self))
 	h.loop = newLoop(h.ctx, h, node)
-	h.outcomes = newOutcomes(h.timer.Now())
-	h.knowledge = newKnowledge(h.loop.post)
-	h.urger = newUrger(h)
+	h.outcomes = newOutcomeRecorder(h.timer.Now())
+	h.cacheIndex = newCacheIndex(h.loop.post)
+	h.shares = newShareRequester(h)
 	h.messenger = messenger.New(messenger.Options{
 		Self:    messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
 		Secret:  []byte(h.settings.PeerSecret),
@@ -112,11 +112,11 @@
 	})
 	h.server = server.New(h.serverOptions(self))
 	h.startServers()
-	h.goDo(h.loop.run)
-	h.goDo(h.pollHostList)
-	h.goDo(h.pollLoads)
-	h.goDo(h.pollCaches)
-	h.startTicks()
+	h.spawn(h.loop.run)
+	h.spawn(h.pollHostList)
+	h.spawn(h.pollLoads)
+	h.spawn(h.pollCaches)
+	h.startTimers()
 	h.logger.Info().Str("Callers", addr.Callers).Str("Peers", addr.Peers).Str("Operators", addr.Operators).Msg(logger.Listening)
 	return nil
 }
@@ -143,8 +143,8 @@
 		Limiter:     h.limiter,
 		Budget:      h.budget,
 		Claims:      h.loop,
-		Shares:      h.urger,
-		CacheIndex:  h.knowledge,
+		Shares:      h.shares,
+		CacheIndex:  h.cacheIndex,
 		Recorder:    h.outcomes,
 		Timer:       h.timer,
 		Log:         h.logger,
@@ -188,7 +188,7 @@
 	}
 }
 
-// Addresses returns where the host listens.
+// Addresses returns the advertised addresses. The host must be started.
 func (h *Host) Addresses() Addresses {
 	return Addresses{
 		Callers:   advertised(h.settings.Callers, h.callers),
@@ -213,31 +213,31 @@
 		Metrics: h.writeMetrics,
 	})
 	h.adminServer = &http.Server{Handler: admin.Handler(), ReadHeaderTimeout: h.settings.Limits.ReadTimeout.Std()}
-	h.goDo(func() { _ = h.server.Serve(h.callers) })
-	h.goDo(func() { _ = h.peerServer.Serve(h.peers) })
-	h.goDo(func() { _ = h.adminServer.Serve(h.operators) })
+	h.spawn(func() { _ = h.server.Serve(h.callers) })
+	h.spawn(func() { _ = h.peerServer.Serve(h.peers) })
+	h.spawn(func() { _ = h.adminServer.Serve(h.operators) })
 }
 
-func (h *Host) goDo(f func()) {
-	h.done.Add(1)
+func (h *Host) spawn(f func()) {
+	h.goroutines.Add(1)
 	go func() {
-		defer h.done.Done()
+		defer h.goroutines.Done()
 		f()
 	}()
 }
 
-// viewChanged publishes a new snapshot.
-func (h *Host) viewChanged(v *publisher.Snapshot) {
+// publishView publishes a snapshot to the request path.
+func (h *Host) publishView(v *publisher.Snapshot) {
 	old := h.publisher.Load()
 	h.publisher.Store(v)
 	if v.Document != old.Document {
-		h.configured(v)
+		h.applyDocument(v)
 	}
 	h.server.Wake(h.timer.Now())
 }
 
-// configured takes over what a new document changes outside of snapshots.
-func (h *Host) configured(v *publisher.Snapshot) {
+// applyDocument applies a new document to the state that is kept across snapshots.
+func (h *Host) applyDocument(v *publisher.Snapshot) {
 	h.budget.SetShare(v.Document.Retry.BudgetShare)
 	names := make(map[string]bool)
 	addresses := make(map[string]bool)
@@ -255,50 +255,51 @@
 	h.logger.Info().Uint64("Revision", v.Revision).Msg(logger.ConfigurationInForce)
 }
 
-// Drain leaves the system without cutting a request: the host gives up its
-// duties, leaves the answers to callers, serves those that still come and ends
-// when it is idle. It returns the number of requests cut because ctx ended.
+// Drain shuts the host down without interrupting requests: the host releases its
+// leases, is no longer advertised to callers, serves requests that still arrive and
+// stops when it is idle. It returns the number of requests interrupted because ctx
+// ended.
 func (h *Host) Drain(ctx context.Context) int {
 	h.logger.Info().Int("Open", h.server.Open()).Msg(logger.Draining)
 	h.loop.post(controller.Leave{})
 	cut := h.server.Drain(ctx)
 	h.flushOutcomes(h.timer.Now())
-	h.settleAll(ctx)
-	h.end()
+	h.awaitIdle(ctx)
+	h.shutdown()
 	h.logger.Info().Int("Cut", cut).Msg(logger.Stopped)
 	return cut
 }
 
-// settleTime bounds the wait for claims' outcomes and reports to be read back.
-const settleTime = 3 * time.Second
+// idleTimeout bounds the wait for pending claim outcomes and reports in Drain.
+const idleTimeout = 3 * time.Second
 
-// settleAll waits until what this host has still to say is in the log.
-func (h *Host) settleAll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+// awaitIdle waits until all pending entries of this host are in the log.
+func (h *Host) awaitIdle(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		pause(ctx, 20*time.Millisecond) // what was posted before is handled first
+		sleep(ctx, 20*time.Millisecond) // let the loop handle events posted before
 		idle := true
-		if !h.loop.call(func(_ time.Time, n *controller.Node) { idle = n.Idle() }) || idle {
+		if !h.loop.do(func(_ time.Time, n *controller.Node) { idle = n.Idle() }) || idle {
 			return
 		}
 	}
 }
 
-// Close ends the host at once and returns the number of requests cut.
+// Close stops the host at once and returns the number of interrupted requests.
 func (h *Host) Close() int {
 	cut := h.server.Close()
-	h.end()
+	h.shutdown()
 	return cut
 }
 
-func (h *Host) end() {
+func (h *Host) shutdown() {
 	_ = h.peerServer.Close()
 	_ = h.adminServer.Close()
 	h.messenger.Close()
 	h.cancel()
 	h.closeListeners()
-	h.done.Wait()
+	h.goroutines.Wait()
 }
 
 // Publish publishes a change of the configuration; see administrator.Control.
@@ -306,23 +307,24 @@
 	return h.loop.Publish(ctx, d)
 }
 
-// Serving reports whether the host serves callers and knows as many hosts as
-// they may use.
+// Serving reports whether the host serves callers and advertises at least a number
+// of hosts to them.
 func (h *Host) Serving(hosts int) bool {
 	snap := h.publisher.Load()
 	return snap.Ready && len(snap.Addresses) >= hosts
 }
 
-// Current returns the configuration in force at this host.
+// Current returns this host's current configuration.
 func (h *Host) Current() administrator.Current { return (&control{host: h}).Current() }
 
-// Revision returns the revision that traffic at this host goes by.
+// Revision returns the configuration revision that requests at this host use.
 func (h *Host) Revision() uint64 { return h.publisher.Load().Revision }
 
 // Dump returns the state of the host; see administrator.Control.
 func (h *Host) Dump() Dump { return (&control{host: h}).dump() }
 
-// Routable reports whether this host would send new work to an engine.
+// Routable reports whether this host would send new requests for a model to an
+// engine.
 func (h *Host) Routable(model, upstream string) bool {
 	pool := h.publisher.Load().Engines[model]
 	if pool == nil {
@@ -336,8 +338,8 @@
 	return false
 }
 
-// Reload says that settings are fixed while a host runs; the configuration is
-// what changes, and it comes from the log.
+// Reload only logs that settings cannot change while a host runs. The configuration
+// can; it is read from the log.
 func (h *Host) Reload(loader.Settings) {
 	h.logger.Info().Str("Reason", "settings are read at the start only").Msg(logger.ReloadRefused)
 }
--- a/runner/knowledge.go
+++ b/runner/knowledge.go
@@ -16,43 +16,43 @@
 	"amaranthgate.example/amaranthgate/server"
 )
 
-// knowledge is what this host knows of kept context. It implements
-// server.Keeper and is safe for concurrent use.
-type knowledge struct {
+// cacheIndex estimates which prompts are cached where. It implements
+// server.CacheIndex and is safe for concurrent use.
+type cacheIndex struct {
 	post func(controller.Event)
 
-	mu      sync.Mutex
-	index   *keeper.Index
-	lookup  keeper.Lookup
-	returns map[string]*returnCount // returns is by workspace.
+	mu            sync.Mutex
+	index         *keeper.Index
+	lookup        keeper.Lookup
+	continuations map[string]*continuationCount // continuations is keyed by workspace.
 }
 
-// returnCount measures how often a workspace's conversations go on.
-type returnCount struct {
-	turns   float64
-	returns float64
+// continuationCount estimates how often a workspace's conversations continue.
+type continuationCount struct {
+	turns     float64
+	continued float64
 }
 
-// returnFading is the weight that older turns keep at each new one.
-const returnFading = 0.999
+// continuationDecay is the factor by which each turn discounts earlier ones.
+const continuationDecay = 0.999
 
-func newKnowledge(post func(controller.Event)) *knowledge {
-	return &knowledge{post: post, index: keeper.NewIndex(keeper.IndexOptions{}), returns: make(map[string]*returnCount)}
+func newCacheIndex(post func(controller.Event)) *cacheIndex {
+	return &cacheIndex{post: post, index: keeper.NewIndex(keeper.IndexOptions{}), continuations: make(map[string]*continuationCount)}
 }
 
-// Lookup implements server.Keeper.
-func (k *knowledge) Lookup(now time.Time, workspace string, pool *publisher.Pool, chain keeper.Chain, req *router.Request) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.index.Lookup(now, chain, &k.lookup)
-	req.Known = k.lookup.Known * keeper.TokensPerBlock
-	k.count(workspace, k.lookup.Known > 0)
-	if len(k.lookup.Found) == 0 {
+// Lookup implements server.CacheIndex.
+func (c *cacheIndex) Lookup(now time.Time, workspace string, pool *publisher.Pool, chain keeper.Chain, req *router.Request) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.index.Lookup(now, chain, &c.lookup)
+	req.Known = c.lookup.Known * keeper.TokensPerBlock
+	c.countTurn(workspace, c.lookup.Known > 0)
+	if len(c.lookup.Found) == 0 {
 		return
 	}
 	for i := range pool.Targets {
-		id := k.index.ID(pool.Targets[i].Name)
-		for _, f := range k.lookup.Found {
+		id := c.index.ID(pool.Targets[i].Name)
+		for _, f := range c.lookup.Found {
 			if f.Upstream == id {
 				req.Holdings = append(req.Holdings, router.Holding{
 					Target: i,
@@ -64,46 +64,46 @@
 	}
 }
 
-func (k *knowledge) count(workspace string, returned bool) {
-	c := k.returns[workspace]
-	if c == nil {
-		c = &returnCount{turns: 2, returns: 1} // as likely as not before anything is known
-		k.returns[workspace] = c
+func (c *cacheIndex) countTurn(workspace string, returned bool) {
+	counts := c.continuations[workspace]
+	if counts == nil {
+		counts = &continuationCount{turns: 2, continued: 1} // a prior of one half
+		c.continuations[workspace] = counts
 	}
-	c.turns = c.turns*returnFading + 1
-	c.returns *= returnFading
+	counts.turns = counts.turns*continuationDecay + 1
+	counts.continued *= continuationDecay
 	if returned {
-		c.returns++
+		counts.continued++
 	}
 }
 
-// Segments implements server.Keeper.
-func (k *knowledge) Segments(now time.Time, upstream string, chain keeper.Chain, tokens int) []wire.SegmentRef {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// Segments implements server.CacheIndex.
+func (c *cacheIndex) Segments(now time.Time, upstream string, chain keeper.Chain, tokens int) []wire.SegmentRef {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []wire.SegmentRef
-	for _, r := range k.index.Segments(now, upstream, chain, tokens/keeper.TokensPerBlock) {
+	for _, r := range c.index.Segments(now, upstream, chain, tokens/keeper.TokensPerBlock) {
 		out = append(out, wire.SegmentRef{Name: keeper.WireName(r.Wire), Generation: r.Generation})
 	}
 	return out
 }
 
-// RecordPlacement implements server.Keeper.
-func (k *knowledge) RecordPlacement(now time.Time, p server.Placement) {
+// RecordPlacement implements server.CacheIndex.
+func (c *cacheIndex) RecordPlacement(now time.Time, p server.Placement) {
 	n := p.Chain.Len()
 	if n == 0 {
 		return
 	}
-	k.mu.Lock()
-	k.index.Placed(now, p.Upstream, p.Chain)
-	from := k.index.KeptBlocks(p.Upstream, p.Chain)
+	c.mu.Lock()
+	c.index.Placed(now, p.Upstream, p.Chain)
+	from := c.index.KeptBlocks(p.Upstream, p.Chain)
 	chance := 0.5
-	if c := k.returns[p.Workspace]; c != nil {
-		chance = c.returns / c.turns
+	if counts := c.continuations[p.Workspace]; counts != nil {
+		chance = counts.continued / counts.turns
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	if p.NotPreferred {
-		k.post(controller.PlacementMade{Placement: messenger.Placement{Upstream: p.Upstream, End: p.Chain.At(n - 1)}})
+		c.post(controller.PlacementMade{Placement: messenger.Placement{Upstream: p.Upstream, End: p.Chain.At(n - 1)}})
 	}
 	if from == n {
 		return
@@ -115,42 +115,42 @@
 	for i := from; i < n; i++ {
 		t.Blocks = append(t.Blocks, p.Chain.Raw(i))
 	}
-	k.post(controller.TurnEnded{Turn: t})
+	c.post(controller.TurnEnded{Turn: t})
 }
 
-func (k *knowledge) keptChanged(a controller.CacheChanged) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *cacheIndex) applyChanges(a controller.CacheChanged) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if a.Full {
-		k.index.ClearKept(a.Upstream)
+		c.index.ClearKept(a.Upstream)
 	}
-	for _, c := range a.Changes {
-		c.Kept.Upstream = a.Upstream
-		if c.Removed {
-			k.index.RemoveKept(a.Upstream, c.Kept.Wire)
+	for _, change := range a.Changes {
+		change.Kept.Upstream = a.Upstream
+		if change.Removed {
+			c.index.RemoveKept(a.Upstream, change.Kept.Wire)
 		} else {
-			k.index.SetKept(c.Kept)
+			c.index.SetKept(change.Kept)
 		}
 	}
-	k.index.Refresh(a.Upstream, a.Until)
+	c.index.Refresh(a.Upstream, a.Until)
 }
 
-func (k *knowledge) learned(now time.Time, list []messenger.Placement) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *cacheIndex) addPlacements(now time.Time, list []messenger.Placement) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, p := range list {
-		k.index.PlacedEnd(now, p.Upstream, p.End)
+		c.index.PlacedEnd(now, p.Upstream, p.End)
 	}
 }
 
-func (k *knowledge) restarted(upstream string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.index.Reset(upstream)
+func (c *cacheIndex) reset(upstream string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.index.Reset(upstream)
 }
 
-func (k *knowledge) size() (hot, kept int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.index.Len()
+func (c *cacheIndex) size() (hot, kept int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.index.Len()
 }
--- a/runner/loop.go
+++ b/runner/loop.go
@@ -15,10 +15,10 @@
 	"amaranthgate.example/amaranthgate/logger"
 )
 
-// eventQueue is the length of the queue before the control goroutine.
-const eventQueue = 8192
+// eventQueueLength is the capacity of the control goroutine's event queue.
+const eventQueueLength = 8192
 
-// loop is the control goroutine and what it hands out.
+// loop is the control goroutine and the callers that wait for it.
 type loop struct {
 	host   *Host
 	node   *controller.Node
@@ -26,27 +26,27 @@
 	calls  chan func(now time.Time, n *controller.Node)
 	ctx    context.Context
 
-	followers map[string]context.CancelFunc // followers is used by the control goroutine only.
+	stopReading map[string]context.CancelFunc // stopReading is used by the control goroutine only.
 
-	mu        sync.Mutex
-	claims    map[string]chan claimer.Settled
-	published map[string]chan configurer.Result
+	mu             sync.Mutex
+	claimWaiters   map[string]chan claimer.Settled
+	publishWaiters map[string]chan configurer.Result
 }
 
 func newLoop(ctx context.Context, h *Host, n *controller.Node) *loop {
 	return &loop{
-		host:      h,
-		node:      n,
-		events:    make(chan controller.Event, eventQueue),
-		calls:     make(chan func(time.Time, *controller.Node)),
-		ctx:       ctx,
-		followers: make(map[string]context.CancelFunc),
-		claims:    make(map[string]chan claimer.Settled),
-		published: make(map[string]chan configurer.Result),
+		host:           h,
+		node:           n,
+		events:         make(chan controller.Event, eventQueueLength),
+		calls:          make(chan func(time.Time, *controller.Node)),
+		ctx:            ctx,
+		stopReading:    make(map[string]context.CancelFunc),
+		claimWaiters:   make(map[string]chan claimer.Settled),
+		publishWaiters: make(map[string]chan configurer.Result),
 	}
 }
 
-// post hands an event to the control goroutine.
+// post sends an event to the control goroutine.
 func (l *loop) post(ev controller.Event) {
 	select {
 	case l.events <- ev:
@@ -54,9 +54,9 @@
 	}
 }
 
-// call runs f on the control goroutine and waits for it. It reports false when
-// the loop has ended.
-func (l *loop) call(f func(now time.Time, n *controller.Node)) bool {
+// do runs f on the control goroutine and waits for it. It reports false if the loop
+// has ended.
+func (l *loop) do(f func(now time.Time, n *controller.Node)) bool {
 	done := make(chan struct{})
 	select {
 	case l.calls <- func(now time.Time, n *controller.Node) { defer close(done); f(now, n) }:
@@ -70,7 +70,7 @@
 // run is the control goroutine.
 func (l *loop) run() {
 	tm := l.host.timer
-	l.carryOut(l.node.Start(tm.Now()))
+	l.execute(l.node.Start(tm.Now()))
 	wake := make(chan struct{}, 1)
 	for {
 		cancel := tm.After(l.node.Due(tm.Now()), func(time.Time) {
@@ -81,35 +81,34 @@
 		})
 		select {
 		case ev := <-l.events:
-			l.carryOut(l.node.Handle(tm.Now(), ev))
+			l.execute(l.node.Handle(tm.Now(), ev))
 		case f := <-l.calls:
 			f(tm.Now(), l.node)
 		case <-wake:
-			l.carryOut(l.node.Handle(tm.Now(), controller.Tick{}))
+			l.execute(l.node.Handle(tm.Now(), controller.Tick{}))
 		case <-l.ctx.Done():
 			cancel()
 			return
 		}
 		cancel()
-		l.backlog()
+		l.drainEvents()
 	}
 }
 
-// backlog handles the events that have come meanwhile without arming the timer
-// for each.
-func (l *loop) backlog() {
+// drainEvents handles queued events in a batch, without arming the timer for each.
+func (l *loop) drainEvents() {
 	for range 64 {
 		select {
 		case ev := <-l.events:
-			l.carryOut(l.node.Handle(l.host.timer.Now(), ev))
+			l.execute(l.node.Handle(l.host.timer.Now(), ev))
 		default:
 			return
 		}
 	}
 }
 
-// carryOut does what the node wants.
-func (l *loop) carryOut(actions []controller.Action) {
+// execute executes the node's actions.
+func (l *loop) execute(actions []controller.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case controller.Append:
@@ -123,22 +122,22 @@
 		case controller.Unfollow:
 			l.unfollow(a.Stream)
 		case controller.Settle:
-			l.settle(a.Settled)
+			l.resolveClaim(a.Settled)
 		case controller.Published:
-			l.publishedResult(a.Result)
+			l.resolvePublish(a.Result)
 		case controller.SetLimit:
 			l.host.limiter.Configure(l.host.timer.Now(), a.Workspace, a.Limit)
-			l.host.urger.changed(a.Workspace)
+			l.host.shares.limitSet(a.Workspace)
 		case controller.SendOrder:
-			go l.host.issue(a)
+			go l.host.issueOrder(a)
 		case controller.CacheChanged:
-			l.host.knowledge.keptChanged(a)
+			l.host.cacheIndex.applyChanges(a)
 		case controller.PlacementsLearned:
-			l.host.knowledge.learned(l.host.timer.Now(), a.Placements)
+			l.host.cacheIndex.addPlacements(l.host.timer.Now(), a.Placements)
 		case controller.UpstreamRestarted:
-			l.host.knowledge.restarted(a.Upstream)
+			l.host.cacheIndex.reset(a.Upstream)
 		case controller.ViewChanged:
-			l.host.viewChanged(l.node.View())
+			l.host.publishView(l.node.View())
 		}
 	}
 }
@@ -151,30 +150,30 @@
 	l.post(controller.AppendDone{Stream: a.Stream, Sequence: a.Record.Sequence, Err: err})
 }
 
-// Bounds of reading the log.
+// Limits of reads of the log.
 const (
-	readLimit = 512
-	readWait  = 2 * time.Second // readWait is the mean wait for new records.
-	readPause = 100 * time.Millisecond
+	readLimit      = 512
+	readWait       = 2 * time.Second // readWait is the mean duration of a long poll for new records.
+	readRetryDelay = 100 * time.Millisecond
 )
 
 func (l *loop) follow(a controller.Follow) {
 	l.unfollow(a.Stream)
 	ctx, cancel := context.WithCancel(l.ctx)
-	l.followers[a.Stream] = cancel
-	go l.read(ctx, a.Stream, a.From)
+	l.stopReading[a.Stream] = cancel
+	go l.readStream(ctx, a.Stream, a.From)
 }
 
 func (l *loop) unfollow(stream string) {
-	if cancel := l.followers[stream]; cancel != nil {
+	if cancel := l.stopReading[stream]; cancel != nil {
 		cancel()
-		delete(l.followers, stream)
+		delete(l.stopReading, stream)
 	}
 }
 
-// read follows a stream for as long as ctx lives.
-func (l *loop) read(ctx context.Context, stream string, from uint64) {
-	wait := time.Duration(0) // the first read tells where the stream ends
+// readStream reads a stream until ctx ends.
+func (l *loop) readStream(ctx context.Context, stream string, from uint64) {
+	wait := time.Duration(0) // the first read returns at once, with the end of the stream
 	for ctx.Err() == nil {
 		began := l.host.timer.Now()
 		page, err := l.host.log.Read(ctx, stream, from, readLimit, wait)
@@ -183,12 +182,12 @@
 		}
 		if err != nil {
 			l.post(controller.LogFailed{Stream: stream})
-			pause(ctx, readPause)
+			sleep(ctx, readRetryDelay)
 			wait = 0
 			continue
 		}
-		// Hosts that read a change together must not wait in step for ever: one
-		// of them shall be about to read when the log is slow.
+		// Jitter keeps the long polls of hosts that read the same record from
+		// staying synchronized.
 		wait = readWait/2 + time.Duration(rand.Int64N(int64(readWait)))
 		if page.Earliest > from {
 			from = page.Earliest
@@ -200,7 +199,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -209,10 +208,10 @@
 	}
 }
 
-func (l *loop) settle(s claimer.Settled) {
+func (l *loop) resolveClaim(s claimer.Settled) {
 	l.mu.Lock()
-	ch := l.claims[s.Nonce]
-	delete(l.claims, s.Nonce)
+	ch := l.claimWaiters[s.Nonce]
+	delete(l.claimWaiters, s.Nonce)
 	l.mu.Unlock()
 	if ch != nil {
 		ch <- s
@@ -223,50 +222,49 @@
 func (l *loop) Claim(ctx context.Context, r claimer.Request, deadline time.Time) claimer.Settled {
 	ch := make(chan claimer.Settled, 1)
 	l.mu.Lock()
-	l.claims[r.Nonce] = ch
+	l.claimWaiters[r.Nonce] = ch
 	l.mu.Unlock()
 	l.post(controller.ClaimStarted{Request: r, Deadline: deadline})
 	select {
-	case s := <-ch:
-		return s
+	case settled := <-ch:
+		return settled
 	case <-ctx.Done():
 	case <-l.ctx.Done():
 		return claimer.Settled{Nonce: r.Nonce, Verdict: claimer.VerdictUnavailable}
 	}
 	l.post(controller.ClaimAbandoned{Nonce: r.Nonce})
-	var s claimer.Settled
+	var settled claimer.Settled
 	select {
-	case s = <-ch:
+	case settled = <-ch:
 	case <-l.ctx.Done():
 		return claimer.Settled{Nonce: r.Nonce, Verdict: claimer.VerdictUnavailable}
 	}
-	if s.Verdict == claimer.VerdictWon { // nothing was dispatched and nothing will be
+	if settled.Verdict == claimer.VerdictWon { // the request was not and will not be sent
 		l.Finish(claimer.Outcome{Key: r.Key, Nonce: r.Nonce, State: claimer.StateNotRun})
-		s.Verdict = claimer.VerdictUnavailable
+		settled.Verdict = claimer.VerdictUnavailable
 	}
-	return s
+	return settled
 }
 
 // Finish implements server.Claims.
 func (l *loop) Finish(out claimer.Outcome) { l.post(controller.ClaimFinished{Outcome: out}) }
 
-func (l *loop) publishedResult(r configurer.Result) {
+func (l *loop) resolvePublish(r configurer.Result) {
 	l.mu.Lock()
-	ch := l.published[r.ID]
-	delete(l.published, r.ID)
+	ch := l.publishWaiters[r.ID]
+	delete(l.publishWaiters, r.ID)
 	l.mu.Unlock()
 	if ch != nil {
 		ch <- r
 	}
 }
 
-// Publish publishes a change and waits until it is read back. It reports false
-// if that did not happen before ctx ended; what became of the change is then
-// not known yet.
+// Publish publishes a change and waits until it is read back from the log. It
+// reports false if ctx ended before; the change may still be applied.
 func (l *loop) Publish(ctx context.Context, d configurer.Delta) (configurer.Result, bool) {
 	ch := make(chan configurer.Result, 1)
 	l.mu.Lock()
-	l.published[d.ID] = ch
+	l.publishWaiters[d.ID] = ch
 	l.mu.Unlock()
 	l.post(controller.ChangePublished{Delta: d})
 	select {
@@ -276,7 +274,7 @@
 	case <-l.ctx.Done():
 	}
 	l.mu.Lock()
-	delete(l.published, d.ID)
+	delete(l.publishWaiters, d.ID)
 	l.mu.Unlock()
 	return configurer.Result{}, false
 }
--- a/runner/outcomes.go
+++ b/runner/outcomes.go
@@ -19,27 +19,27 @@
 	"amaranthgate.example/amaranthgate/server"
 )
 
-// outcomes gathers what became of requests, for reports and metrics.
-type outcomes struct {
+// outcomeRecorder records the outcomes of requests for reports and metrics.
+type outcomeRecorder struct {
 	set *metrics.Set
 
 	mu       sync.Mutex
 	gatherer *reporter.Gatherer
 }
 
-func newOutcomes(now time.Time) *outcomes {
-	return &outcomes{set: metrics.NewSet(), gatherer: reporter.NewGatherer(now)}
+func newOutcomeRecorder(now time.Time) *outcomeRecorder {
+	return &outcomeRecorder{set: metrics.NewSet(), gatherer: reporter.NewGatherer(now)}
 }
 
 // Record implements server.Recorder.
-func (o *outcomes) Record(x *server.Exchange, out server.Outcome, took time.Duration) {
+func (o *outcomeRecorder) Record(x *server.Exchange, out server.Outcome, took time.Duration) {
 	workspace, class := "", ""
 	if x.Workspace != nil {
 		workspace, class = x.Workspace.Name, x.Class.Name
 	}
-	o.count(workspace, class, out)
+	o.countMetrics(workspace, class, out)
 	if x.Workspace == nil {
-		return // nobody's: only counted
+		return // reports are by workspace
 	}
 	r := reporter.Outcome{
 		Workspace:  workspace,
@@ -69,9 +69,9 @@
 	o.gatherer.Record(r)
 }
 
-// count keeps the metrics. The label sets are bounded: workspaces and classes
-// come from the configuration, reasons from a closed list.
-func (o *outcomes) count(workspace, class string, out server.Outcome) {
+// countMetrics updates the metrics. The label sets are bounded: workspaces and
+// classes come from the configuration, reasons from a closed list.
+func (o *outcomeRecorder) countMetrics(workspace, class string, out server.Outcome) {
 	reason := string(out.Reason)
 	if reason == "" {
 		reason = "Answered"
@@ -88,13 +88,13 @@
 	o.set.GetOrCreateCounter(fmt.Sprintf(`amaranthgate_cached_tokens_total{class=%q}`, class)).Add(out.Cached)
 }
 
-func (o *outcomes) flush(now time.Time) (folder.Entry, bool) {
+func (o *outcomeRecorder) flush(now time.Time) (folder.Entry, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gatherer.Flush(now)
 }
 
-// flushOutcomes appends the gathered outcomes.
+// flushOutcomes appends the recorded outcomes to the log.
 func (h *Host) flushOutcomes(now time.Time) {
 	if e, ok := h.outcomes.flush(now); ok {
 		h.loop.post(controller.EntriesReported{Entries: []folder.Entry{e}})
@@ -111,7 +111,7 @@
 	}{
 		{"amaranthgate_open_requests", float64(h.server.Open())},
 		{"amaranthgate_configuration_revision", float64(snap.Revision)},
-		{"amaranthgate_ready", boolean(snap.Ready)},
+		{"amaranthgate_ready", boolToFloat(snap.Ready)},
 		{"amaranthgate_peer_sent_bytes_total", float64(t.SentBytes)},
 		{"amaranthgate_peer_received_bytes_total", float64(t.ReceivedBytes)},
 		{"amaranthgate_peer_dropped_messages_total", float64(t.Dropped)},
@@ -123,7 +123,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-func boolean(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/runner/poll.go
+++ b/runner/poll.go
@@ -21,47 +21,47 @@
 	"amaranthgate.example/amaranthgate/logger"
 )
 
-// Intervals that are no settings.
+// Intervals and limits that are not configurable.
 const (
-	listInterval   = time.Second
-	usageInterval  = time.Second
-	reportInterval = 5 * time.Second
-	wakeInterval   = 100 * time.Millisecond
-	loadTimeout    = time.Second
-	maxAnswerBytes = 16 << 20
+	hostListInterval = time.Second
+	usageInterval    = time.Second
+	reportInterval   = 5 * time.Second
+	wakeInterval     = 100 * time.Millisecond
+	loadTimeout      = time.Second
+	maxResponseBytes = 16 << 20
 )
 
-// pollHostList asks for the platform's host list.
+// pollHostList polls the platform's host list.
 func (h *Host) pollHostList() {
 	for h.ctx.Err() == nil {
-		a, err := h.list.Fetch(h.ctx)
+		a, err := h.hostList.Fetch(h.ctx)
 		if err == nil {
 			h.loop.post(controller.HostsListed{Answer: a})
 		}
-		pause(h.ctx, listInterval)
+		sleep(h.ctx, hostListInterval)
 	}
 }
 
-// pollLoads asks the upstreams that this host watches for their load.
+// pollLoads polls the load of the upstreams that this host watches.
 func (h *Host) pollLoads() {
 	client := &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for h.ctx.Err() == nil {
 		var watched []configurer.Upstream
-		h.loop.call(func(_ time.Time, n *controller.Node) { watched = n.Watched() })
-		var all sync.WaitGroup
+		h.loop.do(func(_ time.Time, n *controller.Node) { watched = n.Watched() })
+		var wg sync.WaitGroup
 		for _, u := range watched {
-			all.Add(1)
+			wg.Add(1)
 			go func() {
-				defer all.Done()
-				h.askLoad(client, u)
+				defer wg.Done()
+				h.queryLoad(client, u)
 			}()
 		}
-		all.Wait()
-		pause(h.ctx, h.settings.Timing.LoadPoll.Std())
+		wg.Wait()
+		sleep(h.ctx, h.settings.Timing.LoadPoll.Std())
 	}
 }
 
-func (h *Host) askLoad(client *http.Client, u configurer.Upstream) {
+func (h *Host) queryLoad(client *http.Client, u configurer.Upstream) {
 	mark := h.registry.Get(u.Name).Meter.Mark()
 	rep, err := fetchLoad(h.ctx, client, u.Address)
 	if err != nil {
@@ -74,19 +74,20 @@
 
 func fetchLoad(ctx context.Context, client *http.Client, address string) (*wire.LoadReport, error) {
 	var rep wire.LoadReport
-	return &rep, fetch(ctx, client, "http://"+address+"/load", &rep)
+	return &rep, getJSON(ctx, client, "http://"+address+"/load", &rep)
 }
 
-// fetch gets a JSON answer.
-func fetch(ctx context.Context, client *http.Client, url string, dst any) error {
+// getJSON fetches a URL and decodes the JSON response into dst.
+func getJSON(ctx context.Context, client *http.Client, url string, dst any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "runner: fetch")
 	}
-	return exchange(client, req, dst)
+	return doJSON(client, req, dst)
 }
 
-func exchange(client *http.Client, req *http.Request, dst any) error {
+// doJSON sends a request and decodes the JSON response into dst.
+func doJSON(client *http.Client, req *http.Request, dst any) error {
 	resp, err := client.Do(req)
 	if err != nil {
 		return errors.Wrap(err, "runner: fetch")
@@ -95,40 +96,40 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("runner: fetch: status %d", resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(dst)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(dst)
 	return errors.Wrap(err, "runner: fetch")
 }
 
-// pollCaches asks the upstreams that this host issues orders to what became of
-// their caches.
+// pollCaches polls the cache events of the upstreams that this host issues orders
+// to.
 func (h *Host) pollCaches() {
 	client := &http.Client{Timeout: loadTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for h.ctx.Err() == nil {
-		var questions []controller.CacheRequest
-		h.loop.call(func(_ time.Time, n *controller.Node) { questions = n.CacheRequests() })
-		var all sync.WaitGroup
-		for _, q := range questions {
-			all.Add(1)
+		var requests []controller.CacheRequest
+		h.loop.do(func(_ time.Time, n *controller.Node) { requests = n.CacheRequests() })
+		var wg sync.WaitGroup
+		for _, q := range requests {
+			wg.Add(1)
 			go func() {
-				defer all.Done()
-				h.askCache(client, q)
+				defer wg.Done()
+				h.queryCache(client, q)
 			}()
 		}
-		all.Wait()
-		pause(h.ctx, h.settings.Timing.LoadPoll.Std())
+		wg.Wait()
+		sleep(h.ctx, h.settings.Timing.LoadPoll.Std())
 	}
 }
 
-func (h *Host) askCache(client *http.Client, q controller.CacheRequest) {
+func (h *Host) queryCache(client *http.Client, q controller.CacheRequest) {
 	ev := controller.CacheRead{Upstream: q.Upstream}
 	if q.All {
 		var all wire.KeptSegments
-		if fetch(h.ctx, client, "http://"+q.Address+"/cache/segments", &all) == nil {
+		if getJSON(h.ctx, client, "http://"+q.Address+"/cache/segments", &all) == nil {
 			ev.Segments = &all
 		}
 	} else {
 		var events wire.CacheEvents
-		if fetch(h.ctx, client, fmt.Sprintf("http://%s/cache/events?From=%d", q.Address, q.From), &events) == nil {
+		if getJSON(h.ctx, client, fmt.Sprintf("http://%s/cache/events?From=%d", q.Address, q.From), &events) == nil {
 			ev.Events = &events
 		}
 	}
@@ -137,19 +138,19 @@
 	}
 }
 
-// orderTimeout bounds the delivery of an order; it is less than what the
-// control plane takes as the longest delivery.
+// orderTimeout bounds the delivery of an order. It must be less than the control
+// plane's bound.
 const orderTimeout = time.Second
 
 var orderClient = &http.Client{Timeout: orderTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute}}
 
-// issue gives an order to an upstream unless the lease has run out meanwhile.
-func (h *Host) issue(a controller.SendOrder) {
+// issueOrder sends an order to an upstream unless the lease has expired.
+func (h *Host) issueOrder(a controller.SendOrder) {
 	done := controller.OrderDone{Upstream: a.Upstream, Order: a.Order}
 	body, err := json.Marshal(a.Order)
 	if err == nil && h.timer.Now().Before(a.Until) {
 		var ans wire.OrderAnswer
-		if err = h.deliver(a.Address, body, &ans); err == nil {
+		if err = h.postOrder(a.Address, body, &ans); err == nil {
 			done.Answer = &ans
 		}
 	}
@@ -164,17 +165,17 @@
 	}
 }
 
-func (h *Host) deliver(address string, body []byte, ans *wire.OrderAnswer) error {
+func (h *Host) postOrder(address string, body []byte, ans *wire.OrderAnswer) error {
 	req, err := http.NewRequestWithContext(h.ctx, http.MethodPost, "http://"+address+"/orders", bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "runner: order")
+		return errors.Wrap(err, "runner: send order")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	return exchange(orderClient, req, ans)
+	return doJSON(orderClient, req, ans)
 }
 
-// startTicks subscribes what happens by time.
-func (h *Host) startTicks() {
+// startTimers starts the periodic tasks.
+func (h *Host) startTimers() {
 	stops := []func(){
 		h.timer.Every(usageInterval, func(time.Time) {
 			h.loop.post(controller.UsageRead{Usage: h.limiter.Read(), Interval: usageInterval})
@@ -182,7 +183,7 @@
 		h.timer.Every(reportInterval, h.flushOutcomes),
 		h.timer.Every(wakeInterval, h.server.Wake),
 	}
-	h.goDo(func() {
+	h.spawn(func() {
 		<-h.ctx.Done()
 		for _, stop := range stops {
 			stop()
--- a/runner/system_test.go
+++ b/runner/system_test.go
@@ -37,50 +37,50 @@
 	return d
 }
 
-// reply is what a caller got.
+// reply is the response that a caller got.
 type reply struct {
-	status  int
-	header  http.Header
-	body    string
-	text    string
-	usage   *wire.Usage
-	whole   bool
-	problem server.Problem
+	status   int
+	header   http.Header
+	body     string
+	text     string
+	usage    *wire.Usage
+	complete bool
+	problem  server.Problem
 }
 
-type send struct {
+type request struct {
 	path   string
 	body   any
 	header map[string]string
 }
 
-func prompt(text string, tokens int, stream bool) send {
-	return send{path: "/v1/completions", body: wire.CompletionRequest{
+func prompt(text string, tokens int, stream bool) request {
+	return request{path: "/v1/completions", body: wire.CompletionRequest{
 		Model: deployment.Model, Prompt: text, MaxTokens: tokens, Stream: stream,
 		StreamOptions: &wire.StreamOptions{IncludeUsage: true},
 	}}
 }
 
-func booking(key, body string) send {
-	return send{path: "/services/Booking/slots", body: body, header: map[string]string{"Idempotency-Key": key}}
+func booking(key, body string) request {
+	return request{path: "/services/Booking/slots", body: body, header: map[string]string{"Idempotency-Key": key}}
 }
 
-// do sends a request to a host and reads the whole answer.
-func do(ctx context.Context, address string, s send) (reply, error) {
-	body, ok := s.body.(string)
+// sendRequest sends a request to a host and reads the response to its end.
+func sendRequest(ctx context.Context, address string, r request) (reply, error) {
+	body, ok := r.body.(string)
 	if !ok {
-		b, err := json.Marshal(s.body)
+		b, err := json.Marshal(r.body)
 		if err != nil {
 			return reply{}, err
 		}
 		body = string(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+s.path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+r.path, strings.NewReader(body))
 	if err != nil {
 		return reply{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+deployment.Token)
-	for k, v := range s.header {
+	for k, v := range r.header {
 		req.Header.Set(k, v)
 	}
 	resp, err := http.DefaultClient.Do(req)
@@ -104,7 +104,7 @@
 	}
 	var c wire.Chunk
 	if json.Unmarshal(b, &c) == nil && len(c.Choices) > 0 {
-		r.text, r.usage, r.whole = c.Choices[0].Text, c.Usage, true
+		r.text, r.usage, r.complete = c.Choices[0].Text, c.Usage, true
 	}
 	return r, err
 }
@@ -119,7 +119,7 @@
 			return nil
 		}
 		if ev.Data == "[DONE]" {
-			r.whole = true
+			r.complete = true
 			continue
 		}
 		var c wire.Chunk
@@ -136,11 +136,11 @@
 	return nil
 }
 
-func must(t *testing.T, address string, s send) reply {
+func mustSend(t *testing.T, address string, r request) reply {
 	t.Helper()
-	r, err := do(t.Context(), address, s)
+	rep, err := sendRequest(t.Context(), address, r)
 	assert.NilError(t, err)
-	return r
+	return rep
 }
 
 func eventually(t *testing.T, what string, ok func() bool) {
@@ -153,35 +153,35 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(10*time.Millisecond))
 }
 
-func text(n int, seed string) string {
+func promptText(n int, seed string) string {
 	return strings.Repeat(seed+" 0123456789abcdef ", 1+n/(len(seed)+18))[:n]
 }
 
-// TestAnswersAreWhole checks streams and whole answers against what the engine
-// must say, on every host.
+// TestAnswersAreWhole checks that every host returns the engine's complete answer,
+// streamed or not.
 func TestAnswersAreWhole(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2})
 	for i := range d.Hosts {
 		for _, stream := range []bool{true, false} {
-			r := must(t, d.Callers(i), prompt("Good morning", 7, stream))
+			r := mustSend(t, d.Callers(i), prompt("Good morning", 7, stream))
 			assert.Equal(t, r.status, 200, r.body)
-			assert.Assert(t, r.whole)
+			assert.Assert(t, r.complete)
 			assert.Equal(t, r.text, strings.Join(emulator.Answer("Good morning", 7), ""))
 			assert.Equal(t, r.usage.CompletionTokens, 7)
 		}
 	}
 }
 
-// TestResume cuts a stream in the middle: the caller gets the whole answer, as
-// if there had been one attempt.
+// TestResume checks that a stream interrupted by an engine is continued, so that
+// the caller gets the answer and the token counts of a single attempt.
 func TestResume(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2})
 	for _, fault := range []emulator.EngineFault{{CutAfter: 5}, {NoMarker: true}} {
 		d.Engines[0].SetFault(fault)
 		for i := range 6 {
 			p := fmt.Sprintf("resume %d %v", i, fault)
-			r := must(t, d.Callers(0), prompt(p, 12, true))
-			assert.Assert(t, r.whole, "%+v", r.problem)
+			r := mustSend(t, d.Callers(0), prompt(p, 12, true))
+			assert.Assert(t, r.complete, "%+v", r.problem)
 			assert.Equal(t, r.text, strings.Join(emulator.Answer(p, 12), ""))
 			assert.Equal(t, r.usage.CompletionTokens, 12)
 			assert.Equal(t, r.usage.PromptTokens, (len(p)+3)/4)
@@ -189,41 +189,41 @@
 	}
 }
 
-// TestRetryElsewhere takes one engine down: every prompt is answered, by the
-// other one.
+// TestRetryElsewhere checks that all prompts are answered while one of two engines
+// is down.
 func TestRetryElsewhere(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2})
 	d.Engines[0].SetFault(emulator.EngineFault{Down: true})
 	for i := range 20 {
 		p := fmt.Sprintf("elsewhere %d", i)
-		r := must(t, d.Callers(i%3), prompt(p, 3, true))
+		r := mustSend(t, d.Callers(i%3), prompt(p, 3, true))
 		assert.Equal(t, r.status, 200, r.body)
 		assert.Equal(t, r.text, strings.Join(emulator.Answer(p, 3), ""))
 	}
 }
 
-// TestCrossedAnswers lets one engine answer with another attempt's nonce: no
-// caller sees it.
+// TestCrossedAnswers checks that no caller gets an answer with the nonce of another
+// attempt.
 func TestCrossedAnswers(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2, Services: 2})
 	d.Engines[0].SetFault(emulator.EngineFault{Cross: true})
 	for i := range 6 {
 		p := fmt.Sprintf("crossed %d", i)
 		for _, stream := range []bool{true, false} {
-			r := must(t, d.Callers(0), prompt(p, 5, stream))
+			r := mustSend(t, d.Callers(0), prompt(p, 5, stream))
 			assert.Equal(t, r.status, 200, r.body)
 			assert.Equal(t, r.text, strings.Join(emulator.Answer(p, 5), ""))
 		}
 	}
 	d.Services[0].SetFault(emulator.EngineFault{Cross: true})
 	d.Services[1].SetFault(emulator.EngineFault{Cross: true})
-	r := must(t, d.Callers(1), booking("crossed", "slot"))
+	r := mustSend(t, d.Callers(1), booking("crossed", "slot"))
 	assert.Equal(t, r.status, 502, r.body)
 	assert.Equal(t, string(r.problem.Ran), "Unknown")
 }
 
-// TestRunsOnce sends the same key many times at once to all hosts, with an
-// answer that gets lost: it runs once, and nobody is told anything else.
+// TestRunsOnce checks that concurrent requests with one key run once, also if the
+// answer is lost, and that all callers get consistent responses.
 func TestRunsOnce(t *testing.T) {
 	d := start(t, deployment.Options{Services: 2})
 	for _, lose := range []bool{false, true} {
@@ -237,7 +237,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				replies[i], _ = do(t.Context(), d.Callers(i%3), booking(key, key))
+				replies[i], _ = sendRequest(t.Context(), d.Callers(i%3), booking(key, key))
 			}()
 		}
 		all.Wait()
@@ -253,55 +253,55 @@
 			assert.Equal(t, r.body, replies[0].body)
 		}
 	}
-	other := must(t, d.Callers(0), booking("once-false", "another body"))
+	other := mustSend(t, d.Callers(0), booking("once-false", "another body"))
 	assert.Equal(t, other.problem.Reason, server.ReasonKeyMismatch)
 }
 
-// TestNotRunIsTrue brings about refusals of requests that may run only once and
-// checks each against the services' own record.
+// TestNotRunIsTrue checks that requests reported as not run were not executed by the
+// service.
 func TestNotRunIsTrue(t *testing.T) {
 	d := start(t, deployment.Options{Services: 1})
 	svc := d.Services[0]
 	for i, f := range []emulator.EngineFault{{Refuse: true}, {Down: true}, {LoseAnswer: true}, {Cross: true}} {
 		svc.SetFault(f)
 		key := fmt.Sprintf("refused-%d", i)
-		r := must(t, d.Callers(0), booking(key, key))
+		r := mustSend(t, d.Callers(0), booking(key, key))
 		assert.Assert(t, r.status >= 400)
 		if r.problem.Ran == "No" {
 			assert.Equal(t, svc.Executions(key), 0)
 		}
 		svc.SetFault(emulator.EngineFault{})
-		again := must(t, d.Callers(1), booking(key, key))
+		retried := mustSend(t, d.Callers(1), booking(key, key))
 		assert.Assert(t, svc.Executions(key) <= 1)
 		if r.problem.Ran == "No" {
-			assert.Equal(t, again.status, 200, again.body) // the key is free again
+			assert.Equal(t, retried.status, 200, retried.body) // the key can be claimed again
 		}
 	}
 }
 
-// TestLogDown: prompts go on, a request that needs agreement is refused with
-// the truth, and the same key works when the log is back.
+// TestLogDown checks that, while the log is down, prompts are answered and a request
+// that needs a claim is refused as not run, and that its key works after recovery.
 func TestLogDown(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 1, Services: 1})
 	d.Log.SetFault(emulator.LogFault{Down: true})
-	assert.Equal(t, must(t, d.Callers(0), prompt("still here", 3, true)).status, 200)
+	assert.Equal(t, mustSend(t, d.Callers(0), prompt("still here", 3, true)).status, 200)
 	s := booking("down", "down")
 	s.header[server.HeaderDeadline] = "300ms"
 	s.header[server.HeaderAttempt] = "1"
-	r := must(t, d.Callers(1), s)
+	r := mustSend(t, d.Callers(1), s)
 	assert.Equal(t, r.problem.Reason, server.ReasonNoAgreement, r.body)
 	assert.Equal(t, string(r.problem.Ran), "No")
 	assert.Equal(t, d.Services[0].Executions("down"), 0)
 	d.Log.SetFault(emulator.LogFault{})
-	eventually(t, "the key is free", func() bool {
-		r, err := do(t.Context(), d.Callers(2), booking("down", "down"))
+	eventually(t, "the key can be claimed", func() bool {
+		r, err := sendRequest(t.Context(), d.Callers(2), booking("down", "down"))
 		return err == nil && r.status == 200
 	})
 	assert.Equal(t, d.Services[0].Executions("down"), 1)
 }
 
-// TestLeavingUpstream: an engine that says it is leaving, or that the host list
-// shows as leaving, gets no new work from any host.
+// TestLeavingUpstream checks that an engine that reports that it is leaving, or that
+// the host list shows as leaving, gets no new requests.
 func TestLeavingUpstream(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2})
 	leave := []func(){
@@ -313,7 +313,7 @@
 	}
 	for i, f := range leave {
 		f()
-		eventually(t, "all hosts know", func() bool {
+		eventually(t, "all hosts see the leaving engine", func() bool {
 			for _, h := range d.Hosts {
 				if h.Dump().Control.Upstreams[i].State != "Leaving" || h.Dump().Control.Upstreams[1-i].State != "Live" {
 					return false
@@ -323,23 +323,23 @@
 		})
 		before := d.Engines[i].Total()
 		for j := range 30 {
-			r := must(t, d.Callers(j%3), prompt(fmt.Sprintf("leaving %d %d", i, j), 2, true))
+			r := mustSend(t, d.Callers(j%3), prompt(fmt.Sprintf("leaving %d %d", i, j), 2, true))
 			assert.Equal(t, r.status, 200, r.body)
 		}
 		assert.Equal(t, d.Engines[i].Total(), before)
 	}
 }
 
-// TestKeptContext lets accelerator memory lose what a prompt had computed: the
-// store brings it back, on a host that did not see the first turn, and no read
-// meets a block that is not whole.
+// TestKeptContext checks that a prompt evicted from accelerator memory is restored
+// from the store, through a host that did not serve the first turn, and that no
+// incomplete block is read.
 func TestKeptContext(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2, Engine: emulator.EngineOptions{PrefillRate: 50000}})
-	p := text(30000, "Atto di successione")
-	first := must(t, d.Callers(0), prompt(p, 2, true))
+	p := promptText(30000, "Atto di successione")
+	first := mustSend(t, d.Callers(0), prompt(p, 2, true))
 	assert.Equal(t, first.usage.PromptDetails.CachedTokens, 0)
-	eventually(t, "all hosts know the segment", func() bool {
-		if _, err := do(t.Context(), d.Callers(0), prompt(p, 2, true)); err != nil {
+	eventually(t, "all hosts have the segment in their index", func() bool {
+		if _, err := sendRequest(t.Context(), d.Callers(0), prompt(p, 2, true)); err != nil {
 			return false
 		}
 		for _, h := range d.Hosts {
@@ -352,38 +352,38 @@
 	for _, e := range d.Engines {
 		e.ClearCache()
 	}
-	again := must(t, d.Callers(1), prompt(p+" a few more words", 2, true))
-	cached := again.usage.PromptDetails.CachedTokens
+	second := mustSend(t, d.Callers(1), prompt(p+" a few more words", 2, true))
+	cached := second.usage.PromptDetails.CachedTokens
 	assert.Assert(t, cached >= len(p)/4-64, "cached %d of %d", cached, len(p)/4)
-	assert.Equal(t, again.text, strings.Join(emulator.Answer(p+" a few more words", 2), ""))
+	assert.Equal(t, second.text, strings.Join(emulator.Answer(p+" a few more words", 2), ""))
 	for _, e := range d.Engines {
 		assert.Equal(t, e.BadReads(), 0)
 	}
 }
 
-// TestWorkspacesDoNotShareContext sends the same text for two workspaces: the
-// second finds nothing of the first.
+// TestWorkspacesDoNotShareContext checks that a workspace does not reuse cached
+// tokens of another one.
 func TestWorkspacesDoNotShareContext(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 1, Document: func(doc *configurer.Document) {
 		w := doc.Workspaces[0]
 		w.Name, w.TokenDigests = "other", []string{configurer.TokenDigest("other-token")}
 		doc.Workspaces = append(doc.Workspaces, w)
 	}})
-	p := text(4000, "shared")
-	must(t, d.Callers(0), prompt(p, 2, true))
+	p := promptText(4000, "shared")
+	mustSend(t, d.Callers(0), prompt(p, 2, true))
 	s := prompt(p, 2, true)
 	s.header = map[string]string{"Authorization": "Bearer other-token"}
-	assert.Equal(t, must(t, d.Callers(0), s).usage.PromptDetails.CachedTokens, 0)
-	assert.Assert(t, must(t, d.Callers(0), prompt(p, 2, true)).usage.PromptDetails.CachedTokens > 0)
+	assert.Equal(t, mustSend(t, d.Callers(0), s).usage.PromptDetails.CachedTokens, 0)
+	assert.Assert(t, mustSend(t, d.Callers(0), prompt(p, 2, true)).usage.PromptDetails.CachedTokens > 0)
 }
 
-// TestRollout swaps the weight version: it is loaded everywhere first, comes
-// into force on all hosts, and new requests find nothing of the old one.
+// TestRollout checks that a new weight version is loaded by all engines, takes
+// effect on all hosts and reuses no cached tokens of the old one.
 func TestRollout(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 5, Engine: emulator.EngineOptions{LoadTime: 300 * time.Millisecond}})
-	p := text(4000, "swap")
-	must(t, d.Callers(0), prompt(p, 2, true))
-	assert.Assert(t, must(t, d.Callers(0), prompt(p, 2, true)).usage.PromptDetails.CachedTokens > 0)
+	p := promptText(4000, "swap")
+	mustSend(t, d.Callers(0), prompt(p, 2, true))
+	assert.Assert(t, mustSend(t, d.Callers(0), prompt(p, 2, true)).usage.PromptDetails.CachedTokens > 0)
 	assert.NilError(t, d.Publish(t.Context(), func(doc *configurer.Document) {
 		doc.Models = []configurer.Model{{Name: deployment.Model, Version: "v1", Next: "v2"}}
 	}))
@@ -394,7 +394,7 @@
 	eventually(t, "v2 is in force on all hosts", func() bool {
 		return d.Hosts[0].Revision() == d.Hosts[1].Revision() && d.Hosts[1].Revision() == d.Hosts[2].Revision()
 	})
-	r := must(t, d.Callers(1), prompt(p, 2, true))
+	r := mustSend(t, d.Callers(1), prompt(p, 2, true))
 	assert.Equal(t, r.status, 200, r.body)
 	assert.Equal(t, r.header.Get(wire.HeaderVersion), "v2")
 	assert.Equal(t, r.usage.PromptDetails.CachedTokens, 0)
@@ -405,8 +405,8 @@
 	assert.Equal(t, at, 5)
 }
 
-// TestDrainCutsNothing drains a host under load, with callers that still hold
-// its address.
+// TestDrainCutsNothing checks that draining a host under load interrupts no request,
+// with callers that still have its address.
 func TestDrainCutsNothing(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2, Engine: emulator.EngineOptions{TokenInterval: 5 * time.Millisecond, Slots: 64}})
 	stop := make(chan struct{})
@@ -429,7 +429,7 @@
 				body, _ := json.Marshal(prompt(p, 20, true).body)
 				r, err := clientDo(t.Context(), client, body)
 				mu.Lock()
-				if err != nil || !r.whole || r.text != strings.Join(emulator.Answer(p, 20), "") {
+				if err != nil || !r.complete || r.text != strings.Join(emulator.Answer(p, 20), "") {
 					failed = append(failed, fmt.Sprintf("%v %+v", err, r.problem))
 				}
 				answered++
@@ -456,25 +456,24 @@
 	return readReply(resp)
 }
 
-// TestLimitHoldsOverAllHosts sends more than a workspace's limit to all hosts
-// at once for a while: a burst at one host is served although it is more than
-// an even share, all hosts together stay within the rate and a burst for each, and the rest is refused as not run with advice when to come
-// back.
+// TestLimitHoldsOverAllHosts checks that a burst at one host is served although it
+// exceeds an even share, that all hosts together stay within the rate and a burst
+// each, and that other requests are refused as not run with Retry-After.
 func TestLimitHoldsOverAllHosts(t *testing.T) {
 	const rate, burst = 40, 20
 	d := start(t, deployment.Options{Services: 1, Document: func(doc *configurer.Document) {
 		doc.Workspaces[0].RequestsPerSecond, doc.Workspaces[0].Burst = rate, burst
 	}})
-	eventually(t, "somebody divides limits", func() bool {
+	eventually(t, "a host holds the Limits lease", func() bool {
 		return d.Hosts[0].Dump().Control.Leases["Limits"].Holder != ""
 	})
-	time.Sleep(11 * time.Second) // the divider's first life
+	time.Sleep(11 * time.Second) // grants of a previous divider may be in effect until then
 	n := 0
 	eventually(t, "a burst at one host is served", func() bool {
 		for range 8 {
 			n++
-			if r := must(t, d.Callers(0), booking(fmt.Sprintf("burst-%d", n), "b")); r.status != 200 {
-				time.Sleep(time.Second) // the bucket fills again
+			if r := mustSend(t, d.Callers(0), booking(fmt.Sprintf("burst-%d", n), "b")); r.status != 200 {
+				time.Sleep(time.Second) // refill the token bucket
 				return false
 			}
 		}
@@ -484,7 +483,7 @@
 	answered, refused := 0, 0
 	for time.Since(began) < 4*time.Second {
 		for i := range d.Hosts {
-			r := must(t, d.Callers(i), booking("", "c"))
+			r := mustSend(t, d.Callers(i), booking("", "c"))
 			switch {
 			case r.status == 200:
 				answered++
--- a/runner/urge.go
+++ b/runner/urge.go
@@ -11,42 +11,42 @@
 	"amaranthgate.example/amaranthgate/controller"
 )
 
-// Bounds of asking for a larger share of a limit out of turn.
+// Times of requests for a larger share of a limit.
 const (
-	urgeAgain = time.Second            // urgeAgain is the least time between two questions for one workspace.
-	urgeWait  = 200 * time.Millisecond // urgeWait is how long a request waits for the answer, which usually takes a few milliseconds.
-	urgeSpan  = 50 * time.Millisecond  // urgeSpan is the time for which the usage since the last reading is taken to stand.
+	minShareRequestInterval = time.Second            // for one workspace
+	shareRequestTimeout     = 200 * time.Millisecond // bounds the wait of a caller's request
+	assumedUsageInterval    = 50 * time.Millisecond  // interval that the usage since the last reading is assumed to cover
 )
 
-// urger asks for larger shares out of turn: a workspace that was idle here has
-// only the floor of its limit until this host has asked. It implements
-// server.Shares.
-type urger struct {
+// shareRequester requests larger shares between the periodic requests, because a
+// workspace that was idle at this host has only the minimum share. It implements
+// server.ShareRequester.
+type shareRequester struct {
 	host *Host
 
-	mu     sync.Mutex
-	asked  map[string]time.Time
-	change map[string]chan struct{} // change is closed when a workspace's limit is set.
+	mu          sync.Mutex
+	requestedAt map[string]time.Time
+	waiters     map[string]chan struct{} // waiters are closed when a workspace's limit is set.
 }
 
-func newUrger(h *Host) *urger {
-	return &urger{host: h, asked: make(map[string]time.Time), change: make(map[string]chan struct{})}
+func newShareRequester(h *Host) *shareRequester {
+	return &shareRequester{host: h, requestedAt: make(map[string]time.Time), waiters: make(map[string]chan struct{})}
 }
 
-// RequestShare implements server.Shares.
-func (u *urger) RequestShare(ctx context.Context, workspace string) bool {
-	now := u.host.timer.Now()
-	u.mu.Lock()
-	if now.Sub(u.asked[workspace]) < urgeAgain {
-		u.mu.Unlock()
+// RequestShare implements server.ShareRequester.
+func (r *shareRequester) RequestShare(ctx context.Context, workspace string) bool {
+	now := r.host.timer.Now()
+	r.mu.Lock()
+	if now.Sub(r.requestedAt[workspace]) < minShareRequestInterval {
+		r.mu.Unlock()
 		return false
 	}
-	u.asked[workspace] = now
+	r.requestedAt[workspace] = now
 	ch := make(chan struct{})
-	u.change[workspace] = ch
-	u.mu.Unlock()
-	u.host.loop.post(controller.UsageRead{Usage: u.host.limiter.Read(), Interval: urgeSpan})
-	t := time.NewTimer(urgeWait)
+	r.waiters[workspace] = ch
+	r.mu.Unlock()
+	r.host.loop.post(controller.UsageRead{Usage: r.host.limiter.Read(), Interval: assumedUsageInterval})
+	t := time.NewTimer(shareRequestTimeout)
 	defer t.Stop()
 	select {
 	case <-ch:
@@ -56,12 +56,12 @@
 	return true
 }
 
-// changed tells that a workspace's limit was set.
-func (u *urger) changed(workspace string) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if ch := u.change[workspace]; ch != nil {
+// limitSet wakes the request that waits for a workspace's limit.
+func (r *shareRequester) limitSet(workspace string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if ch := r.waiters[workspace]; ch != nil {
 		close(ch)
-		delete(u.change, workspace)
+		delete(r.waiters, workspace)
 	}
 }
