--- a/orderer/issuer.go
+++ b/orderer/issuer.go
@@ -38,7 +38,7 @@
 type Options struct {
 	Lease           time.Duration // Lease bounds how long the previous issuer may act on its lease.
 	DeliveryTimeout time.Duration // DeliveryTimeout bounds the delivery of an order to an upstream.
-	UnloadDelay     time.Duration // UnloadDelay is how long an unwanted version stays, for requests that still use it.
+	UnloadDelay     time.Duration // UnloadDelay is how long an unwanted version stays for running requests.
 	RetryInterval   time.Duration // RetryInterval is the time until an order is repeated; default 2 s.
 }
 
--- a/router/route.go
+++ b/router/route.go
@@ -43,7 +43,7 @@
 	NoCorrection  bool
 	NoRestore     bool
 	NoHoldings    bool
-	AffinityShare float64 // AffinityShare is the bonus of the first in rank, as a share of the prefill time; default 0.5.
+	AffinityShare float64 // AffinityShare is the bonus of the first in rank per prefill time; default 0.5.
 }
 
 const defaultAffinityShare = 0.5
--- a/runner/urge.go
+++ b/runner/urge.go
@@ -15,7 +15,7 @@
 const (
 	minShareRequestInterval = time.Second            // for one workspace
 	shareRequestTimeout     = 200 * time.Millisecond // bounds the wait of a caller's request
-	assumedUsageInterval    = 50 * time.Millisecond  // interval that the usage since the last reading is assumed to cover
+	assumedUsageInterval    = 50 * time.Millisecond  // interval that the usage read is assumed to cover
 )
 
 // shareRequester requests larger shares between the periodic requests, because a
--- a/server/outcome.go
+++ b/server/outcome.go
@@ -78,7 +78,7 @@
 	Cached     int // Cached is the number of prompt tokens that the upstream had cached.
 	Tokens     int // Tokens is the number of events that carried text.
 	FirstToken time.Duration
-	complete   bool // complete reports whether the upstream's response was complete, even if the caller did not read it.
+	complete   bool // complete reports whether the upstream's response was complete, even if not delivered.
 	written    bool // written reports whether the response, or part of it, was sent to the caller.
 }
 
