--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -91,8 +91,8 @@
 }
 
 // ask returns the placement request.
-func (d *delivery) ask() *placer.Ask {
-	ask := &placer.Ask{Service: d.service, Prompt: d.request.Prompt, Exclude: d.tried, Objective: d.route.Objective}
+func (d *delivery) ask() *placer.PlacementRequest {
+	ask := &placer.PlacementRequest{Service: d.service, Prompt: d.request.Prompt, Exclude: d.tried, Objective: d.route.Objective}
 	if ask.Prompt != nil {
 		ask.SaltOf = d.salt
 	}
@@ -107,7 +107,7 @@
 }
 
 // awaitUpstream waits in the queue until placement returns another verdict than Busy.
-func (d *delivery) awaitUpstream(ctx context.Context, ask *placer.Ask) (placer.Choice, placer.Verdict) {
+func (d *delivery) awaitUpstream(ctx context.Context, ask *placer.PlacementRequest) (placer.Choice, placer.Verdict) {
 	var choice placer.Choice
 	verdict := placer.Busy
 	item := d.queueItem(ask)
--- a/exchanger/waiting.go
+++ b/exchanger/waiting.go
@@ -17,7 +17,7 @@
 const rankFactor = 4
 
 // queueItem returns the queue item of the request.
-func (e *exchange) queueItem(ask *placer.Ask) *scheduler.Item {
+func (e *exchange) queueItem(ask *placer.PlacementRequest) *scheduler.Item {
 	it := &scheduler.Item{
 		Class:           strconv.Itoa(e.rank()) + "/" + e.route.Name, // a workspace's rank overrides the route's
 		ClassWeight:     math.Pow(rankFactor, -float64(e.rank())),
--- a/exchanger/waiting_bench_test.go
+++ b/exchanger/waiting_bench_test.go
@@ -40,7 +40,7 @@
 	var queue scheduler.Queue
 	n := 0
 	enqueue := func() {
-		ask := &placer.Ask{Service: "s", SaltOf: salt, Prompt: &placer.Prompt{Model: "m", Output: 80, Parts: []placer.Part{
+		ask := &placer.PlacementRequest{Service: "s", SaltOf: salt, Prompt: &placer.Prompt{Model: "m", Output: 80, Parts: []placer.Part{
 			{ID: fmt.Sprint("a", n%3), Tokens: 500}, {ID: fmt.Sprint("b", n%238), Tokens: 8600}, {ID: fmt.Sprint(n), Tokens: 2900},
 		}}}
 		n++
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -193,7 +193,7 @@
 
 // place starts a request at an engine, waits for room, or fails the request.
 func (m *endsModel) place(req *endsRequest) {
-	ask := &placer.Ask{
+	ask := &placer.PlacementRequest{
 		Service: endsService, Exclude: req.triedEngines, SaltOf: func(uint64) string { return "" },
 		Prompt: &placer.Prompt{
 			Model: "m", Output: 10, Parts: []placer.Part{{ID: req.id.String(), Tokens: endsPromptTokens}},
--- a/placer/admission.go
+++ b/placer/admission.go
@@ -19,13 +19,13 @@
 
 // admits reports whether an engine has room to begin a request soon. Plain services refuse requests
 // themselves when they are full.
-func (p *Placer) admits(t *target, ask *Ask) bool {
-	if t.engine == nil || ask.Prompt == nil {
+func (p *Placer) admits(t *target, req *PlacementRequest) bool {
+	if t.engine == nil || req.Prompt == nil {
 		return true
 	}
 	work := t.work()
-	memory, backlog := t.engine.CapacityTokens, int(maxBacklogTokens/t.slowness.factor(ask.now))
-	if !p.hasTurn(t, ask, memory-work.Memory) {
+	memory, backlog := t.engine.CapacityTokens, int(maxBacklogTokens/t.slowness.factor(req.now))
+	if !p.hasTurn(t, req, memory-work.Memory) {
 		return false
 	}
 	if work.Requests == 0 {
@@ -35,7 +35,7 @@
 		memory = int(staleLoadShare * float64(memory))
 		backlog = int(staleLoadShare * float64(backlog))
 	}
-	return work.Memory+ask.size <= memory && work.Pending <= backlog && work.Requests < t.engine.Slots
+	return work.Memory+req.size <= memory && work.Pending <= backlog && work.Requests < t.engine.Slots
 }
 
 // turnInterval is the time after which the next host in rank order may use the room of an engine
@@ -45,8 +45,8 @@
 
 // hasTurn reports whether this host may use an engine's free memory now: at once if there is enough
 // for all hosts with waiting requests, else in the order of their ranks for the engine.
-func (p *Placer) hasTurn(t *target, ask *Ask, room int) bool {
-	if room >= ask.size*(len(p.contenders)+1) {
+func (p *Placer) hasTurn(t *target, req *PlacementRequest, room int) bool {
+	if room >= req.size*(len(p.contenders)+1) {
 		return true
 	}
 	own := rendezvous(PartKey(p.hostHash), t.hash)
@@ -56,7 +56,7 @@
 			position++
 		}
 	}
-	return ask.now.Sub(t.freedAt) >= time.Duration(position)*turnInterval
+	return req.now.Sub(t.freedAt) >= time.Duration(position)*turnInterval
 }
 
 // staleLoad reports whether other hosts' work at an engine is known only from delayed, aggregated
@@ -67,9 +67,9 @@
 }
 
 // anyAdmits reports whether any upstream of a pool could begin the request.
-func (p *Placer) anyAdmits(pl *pool, ask *Ask) bool {
+func (p *Placer) anyAdmits(pl *pool, req *PlacementRequest) bool {
 	for _, m := range pl.all {
-		if p.admits(p.targetOf(m), ask) {
+		if p.admits(p.targetOf(m), req) {
 			return true
 		}
 	}
--- a/placer/admission_test.go
+++ b/placer/admission_test.go
@@ -39,11 +39,11 @@
 					tg.markUnreachable(start)
 				}
 			}
-			ask := askFor("x", "own")
+			req := askFor("x", "own")
 			if c.Tokens > 0 {
-				ask.Prompt.Parts[0].Tokens = c.Tokens - ask.Prompt.Parts[1].Tokens
+				req.Prompt.Parts[0].Tokens = c.Tokens - req.Prompt.Parts[1].Tokens
 			}
-			_, verdict := p.Choose(start, ask)
+			_, verdict := p.Choose(start, req)
 			assert.Equal(t, verdict, c.Want)
 		})
 	}
--- a/placer/apart.go
+++ b/placer/apart.go
@@ -21,26 +21,26 @@
 // which is the same at all hosts and differs between requests, instead of by cost. Copies of a
 // crashing request then meet at one upstream, and requests that are suspects only because they ran
 // beside it go elsewhere.
-func (p *Placer) chooseIsolated(now time.Time, ask *Ask) (*target, time.Duration, Verdict) {
+func (p *Placer) chooseIsolated(now time.Time, req *PlacementRequest) (*target, time.Duration, Verdict) {
 	var first, rest shortlist
 	var maxRank uint64
-	for _, m := range p.pools[ask.Service].all {
+	for _, m := range p.pools[req.Service].all {
 		t := p.targetOf(m)
-		if !p.eligible(t, ask) || slices.Contains(ask.Apart.Ends, t.instance) {
+		if !p.eligible(t, req) || slices.Contains(req.Apart.Ends, t.instance) {
 			continue
 		}
 		var single shortlist
-		p.consider(now, t, ask, &single)
-		rank := rendezvous(PartKey(ask.Apart.Key), t.hash)
+		p.consider(now, t, req, &single)
+		rank := rendezvous(PartKey(req.Apart.Key), t.hash)
 		switch {
 		case single.best == nil:
-			p.consider(now, t, ask, &rest)
+			p.consider(now, t, req, &rest)
 		case first.best == nil || rank > maxRank:
 			first, maxRank = single, rank
 		}
 	}
 	if first.best != nil {
-		return p.pick(&first, ask)
+		return p.pick(&first, req)
 	}
-	return p.pick(&rest, ask)
+	return p.pick(&rest, req)
 }
--- a/placer/apart_test.go
+++ b/placer/apart_test.go
@@ -10,15 +10,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// isolatedAsk returns a request that asks for isolation.
-func isolatedAsk(key uint64, ends ...string) *Ask {
-	ask := askFor("shared", fmt.Sprint("own", key))
-	ask.Apart = Apart{Key: key, Ends: ends}
-	return ask
+// isolatedRequest returns a request that asks for isolation.
+func isolatedRequest(key uint64, ends ...string) *PlacementRequest {
+	req := askFor("shared", fmt.Sprint("own", key))
+	req.Apart = Apart{Key: key, Ends: ends}
+	return req
 }
 
-func chosen(t *testing.T, p *Placer, ask *Ask) string {
-	c, verdict := p.Choose(start, ask)
+func chosen(t *testing.T, p *Placer, req *PlacementRequest) string {
+	c, verdict := p.Choose(start, req)
 	assert.Equal(t, verdict, Chosen)
 	c.Ticket.Done(start, ResultCaller)
 	return c.Upstream.ID
@@ -31,29 +31,29 @@
 	v := testView(8, 1)
 	a, b := testPlacer(v), testPlacer(v)
 	for range 20 { // b has short prompts in flight
-		ask := askFor("other", "mine")
-		ask.Prompt.Parts = []Part{{"other", 300}, {"mine", 80}}
-		_, verdict := b.Choose(start, ask)
+		req := askFor("other", "mine")
+		req.Prompt.Parts = []Part{{"other", 300}, {"mine", 80}}
+		_, verdict := b.Choose(start, req)
 		assert.Equal(t, verdict, Chosen)
 	}
 	places := make(map[string]int)
 	for key := range uint64(64) {
 		key *= 0x9e3779b97f4a7c15
-		at := chosen(t, a, isolatedAsk(key, "gone"))
-		assert.Equal(t, chosen(t, b, isolatedAsk(key, "gone")), at)
+		at := chosen(t, a, isolatedRequest(key, "gone"))
+		assert.Equal(t, chosen(t, b, isolatedRequest(key, "gone")), at)
 		places[at]++
 
-		next := chosen(t, a, isolatedAsk(key, at))
+		next := chosen(t, a, isolatedRequest(key, at))
 		assert.Assert(t, next != at)
-		excluded := isolatedAsk(key, "gone")
+		excluded := isolatedRequest(key, "gone")
 		excluded.Exclude = []string{at}
 		assert.Equal(t, chosen(t, a, excluded), next)
 	}
 	assert.Equal(t, len(places), 8)
 
-	at := chosen(t, a, isolatedAsk(7, "gone"))
+	at := chosen(t, a, isolatedRequest(7, "gone"))
 	a.targetByInstance(at).markUnreachable(start)
-	assert.Equal(t, chosen(t, a, isolatedAsk(7, "gone")), chosen(t, a, isolatedAsk(7, at)))
+	assert.Equal(t, chosen(t, a, isolatedRequest(7, "gone")), chosen(t, a, isolatedRequest(7, at)))
 }
 
 // TestNoUpstreamForIsolatedRequest checks that a suspect request waits if all engines are full,
@@ -63,8 +63,8 @@
 	for range 6 { // three prompts of 16,800 tokens fill an engine of 60,000
 		_, _ = p.Choose(start, askFor("shared", "own"))
 	}
-	_, verdict := p.Choose(start, isolatedAsk(1, "gone"))
+	_, verdict := p.Choose(start, isolatedRequest(1, "gone"))
 	assert.Equal(t, verdict, Busy)
-	_, verdict = testPlacer(testView(2, 1)).Choose(start, isolatedAsk(1, "e0", "e1"))
+	_, verdict = testPlacer(testView(2, 1)).Choose(start, isolatedRequest(1, "e0", "e1"))
 	assert.Equal(t, verdict, None)
 }
--- a/placer/candidates.go
+++ b/placer/candidates.go
@@ -31,7 +31,7 @@
 func (l *pool) large() bool { return len(l.all) > maxCellScan }
 
 // candidates returns the upstreams to choose from. The slice is valid until the next call.
-func (p *Placer) candidates(pl *pool, ask *Ask) []*target {
+func (p *Placer) candidates(pl *pool, req *PlacementRequest) []*target {
 	if len(pl.all) <= maxFullScan {
 		return p.collectAll(pl.all)
 	}
@@ -40,19 +40,19 @@
 	} else {
 		p.collectAll(pl.cell)
 	}
-	for range remoteSamples + len(ask.Exclude) {
+	for range remoteSamples + len(req.Exclude) {
 		p.addCandidate(p.targetOf(pl.all[p.rng.IntN(len(pl.all))]))
 	}
-	if ask.Prompt == nil || !p.directReports && len(pl.cell) >= minCellMembers {
+	if req.Prompt == nil || !p.directReports && len(pl.cell) >= minCellMembers {
 		return p.candidateBuf
 	}
-	prompt := p.lookup(ask, p.usualWeights(ask.Prompt.Model))
+	prompt := p.lookup(req, p.usualWeights(req.Prompt.Model))
 	first, second := pl.ringOwners(sharedKey(prompt.keys))
 	p.addCandidate(p.targetOf(first))
 	p.addCandidate(p.targetOf(second))
 	p.addCandidate(prompt.sources[0].target)
 	if pl.large() {
-		p.addCacheHolders(ask, prompt)
+		p.addCacheHolders(req, prompt)
 	}
 	return p.candidateBuf
 }
@@ -84,14 +84,14 @@
 
 // addCacheHolders adds engines that cache the longest known prefix of a prompt: the best of them
 // may be busy.
-func (p *Placer) addCacheHolders(ask *Ask, prompt *versionedPrompt) {
+func (p *Placer) addCacheHolders(req *PlacementRequest, prompt *versionedPrompt) {
 	if prompt.sources[0].parts == 0 {
 		return
 	}
 	holders := p.cacheIndex[prompt.keys[prompt.sources[0].parts-1]]
 	from := p.randomIndex(len(holders))
 	for i := range min(maxCacheHolders, len(holders)) {
-		if t := holders[(from+i)%len(holders)]; t.listed && t.upstream.Service == ask.Service {
+		if t := holders[(from+i)%len(holders)]; t.listed && t.upstream.Service == req.Service {
 			p.addCandidate(t)
 		}
 	}
--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -34,9 +34,9 @@
 	for _, n := range []int{300, 10000} {
 		p := zonePlacer(n)
 		for i := range 200 {
-			ask := askFor(fmt.Sprint("shared", i%3), fmt.Sprint("own", i))
-			ask.now, ask.round = start, 1
-			got := len(p.candidates(p.pools["engines"], ask))
+			req := askFor(fmt.Sprint("shared", i%3), fmt.Sprint("own", i))
+			req.now, req.round = start, 1
+			got := len(p.candidates(p.pools["engines"], req))
 			assert.Assert(t, got <= most, "%d candidates among %d", got, n)
 			c, _ := p.Choose(start, askFor(fmt.Sprint("shared", i%3), fmt.Sprint("own", i)))
 			serve(p, start, c)
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -11,8 +11,8 @@
 	"amaranthgate.example/amaranthgate/renewer"
 )
 
-// Ask describes a request for the choice of an upstream.
-type Ask struct {
+// PlacementRequest describes a request for the choice of an upstream.
+type PlacementRequest struct {
 	Service string
 	Prompt  *Prompt // Prompt is nil for plain services.
 	// SaltOf returns the cache salt of a weight version.
@@ -40,7 +40,7 @@
 // versionedPrompt is a prompt with its keys and cache locations under one weight version.
 type versionedPrompt struct {
 	weights uint64
-	round   uint64 // round is the round of the Ask that sources and stores were looked up in.
+	round   uint64 // round is the round of the PlacementRequest that sources and stores were looked up in.
 	salt    string
 	keys    []PartKey
 	keyBuf  [4]PartKey // keyBuf avoids an allocation for short chains.
@@ -99,18 +99,18 @@
 )
 
 // Choose picks an upstream that can begin the request and records the request as in flight there.
-func (p *Placer) Choose(now time.Time, ask *Ask) (Choice, Verdict) {
+func (p *Placer) Choose(now time.Time, req *PlacementRequest) (Choice, Verdict) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ask.now = now
-	ask.round++
-	if ask.Prompt != nil {
-		ask.size = ask.Prompt.Tokens() + ask.Prompt.Output
+	req.now = now
+	req.round++
+	if req.Prompt != nil {
+		req.size = req.Prompt.Tokens() + req.Prompt.Output
 	}
-	if ask.Wait = p.wait(now, ask); ask.Wait.Done != nil {
+	if req.Wait = p.wait(now, req); req.Wait.Done != nil {
 		return Choice{}, Awaits
 	}
-	best, estimate, verdict := p.best(now, ask)
+	best, estimate, verdict := p.best(now, req)
 	if verdict != Chosen {
 		return Choice{}, verdict
 	}
@@ -119,13 +119,13 @@
 	}
 	c := Choice{Upstream: *best.upstream, Basis: Basis{Estimate: estimate, Work: best.work(), PeersAge: p.peersAge(now)}}
 	tk := &Ticket{placer: p, target: best, start: now, work: Work{Requests: 1}}
-	if ask.Prompt != nil {
-		c.Weights = best.upstream.Weights[ask.Prompt.Model]
-		p.plan(now, ask, best, &c, tk)
+	if req.Prompt != nil {
+		c.Weights = best.upstream.Weights[req.Prompt.Model]
+		p.plan(now, req, best, &c, tk)
 	}
 	tk.fetching = c.Basis.Moved > 0
 	tk.expected = best.scaled(now, c.Basis.Behind+c.Basis.Reading) + c.Basis.Fetching
-	if best.engine != nil && ask.Prompt != nil {
+	if best.engine != nil && req.Prompt != nil {
 		running := time.Duration(c.Basis.Work.Requests) * runningPenalty
 		tk.baseline, tk.fetchTime = firstTokenTime+running+c.Basis.Behind+c.Basis.Reading, c.Basis.Fetching
 	}
@@ -153,42 +153,42 @@
 // best returns the candidate with the least cost among those that can begin the request, and its
 // cost. The scan starts at a random candidate, so that hosts with equal knowledge do not all choose
 // the same one.
-func (p *Placer) best(now time.Time, ask *Ask) (*target, time.Duration, Verdict) {
-	pl := p.pools[ask.Service]
+func (p *Placer) best(now time.Time, req *PlacementRequest) (*target, time.Duration, Verdict) {
+	pl := p.pools[req.Service]
 	if pl == nil {
 		return nil, 0, None
 	}
-	if !pl.large() && !p.anyAdmits(pl, ask) {
+	if !pl.large() && !p.anyAdmits(pl, req) {
 		return nil, 0, Busy
 	}
-	if ask.Apart.requested() {
-		return p.chooseIsolated(now, ask)
+	if req.Apart.requested() {
+		return p.chooseIsolated(now, req)
 	}
 	var s shortlist
-	p.considerAll(now, p.candidates(pl, ask), ask, &s)
+	p.considerAll(now, p.candidates(pl, req), req, &s)
 	if s.best == nil && pl.large() {
-		p.considerAll(now, p.sample(pl.all, retrySamples), ask, &s)
+		p.considerAll(now, p.sample(pl.all, retrySamples), req, &s)
 	}
-	return p.pick(&s, ask)
+	return p.pick(&s, req)
 }
 
 // considerAll adds the eligible candidates to the shortlist.
-func (p *Placer) considerAll(now time.Time, all []*target, ask *Ask, s *shortlist) {
+func (p *Placer) considerAll(now time.Time, all []*target, req *PlacementRequest, s *shortlist) {
 	for i, from := 0, p.randomIndex(len(all)); i < len(all); i++ {
 		t := all[(from+i)%len(all)]
-		if p.eligible(t, ask) {
-			p.consider(now, t, ask, s)
+		if p.eligible(t, req) {
+			p.consider(now, t, req, s)
 		}
 	}
 }
 
 // eligible reports whether a request may go to an upstream at all.
-func (p *Placer) eligible(t *target, ask *Ask) bool {
-	return !slices.Contains(ask.Exclude, t.upstream.ID) && p.allowedIn(ask, t.upstream.AvailabilityZone)
+func (p *Placer) eligible(t *target, req *PlacementRequest) bool {
+	return !slices.Contains(req.Exclude, t.upstream.ID) && p.allowedIn(req, t.upstream.AvailabilityZone)
 }
 
 // consider adds a candidate to the shortlist.
-func (p *Placer) consider(now time.Time, t *target, ask *Ask, s *shortlist) {
+func (p *Placer) consider(now time.Time, t *target, req *PlacementRequest, s *shortlist) {
 	switch {
 	case p.rationed(now, t):
 		s.busy = true
@@ -196,12 +196,12 @@
 		if s.suspect == nil || t.suspectUntil.Before(s.suspect.suspectUntil) {
 			s.suspect = t
 		}
-	case t.phase == renewer.PhaseLoading || p.expired(now, t, ask):
+	case t.phase == renewer.PhaseLoading || p.expired(now, t, req):
 		s.fallback = t
-	case !p.admits(t, ask):
+	case !p.admits(t, req):
 		s.busy = true
 	default:
-		if cost := p.cost(now, t, ask); s.best == nil || cost < s.leastCost {
+		if cost := p.cost(now, t, req); s.best == nil || cost < s.leastCost {
 			s.best, s.leastCost = t, cost
 		}
 	}
@@ -209,13 +209,13 @@
 
 // pick returns the best candidate of the shortlist. One that is loading, has expired weights or is
 // suspect is returned only if no other will be able to begin the request.
-func (p *Placer) pick(s *shortlist, ask *Ask) (*target, time.Duration, Verdict) {
+func (p *Placer) pick(s *shortlist, req *PlacementRequest) (*target, time.Duration, Verdict) {
 	switch {
 	case s.best != nil:
 		return s.best, s.leastCost, Chosen
 	case s.busy:
 		return nil, 0, Busy
-	case s.fallback != nil && p.admits(s.fallback, ask):
+	case s.fallback != nil && p.admits(s.fallback, req):
 		return s.fallback, 0, Chosen
 	case s.fallback != nil:
 		return nil, 0, Busy
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -34,8 +34,8 @@
 	return p
 }
 
-func shortAsk(n int) *Ask {
-	return &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{fmt.Sprint("shared", n), 5}, {"own", 8}}}}
+func shortRequest(n int) *PlacementRequest {
+	return &PlacementRequest{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{fmt.Sprint("shared", n), 5}, {"own", 8}}}}
 }
 
 // hostNames returns the names of the hosts in [from, to), or of one host if only from is given.
@@ -80,7 +80,7 @@
 			var sent []time.Time
 			for now := start; now.Before(start.Add(length)); now = now.Add(10 * time.Millisecond) {
 				for i, p := range placers {
-					if _, verdict := p.Choose(now, shortAsk(i)); verdict == Chosen {
+					if _, verdict := p.Choose(now, shortRequest(i)); verdict == Chosen {
 						sent = append(sent, now)
 					}
 				}
@@ -108,7 +108,7 @@
 func countChosen(p *Placer, now time.Time) int {
 	n := 0
 	for n < 100 {
-		if _, verdict := p.Choose(now, shortAsk(n)); verdict != Chosen {
+		if _, verdict := p.Choose(now, shortRequest(n)); verdict != Chosen {
 			return n
 		}
 		n++
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -29,22 +29,22 @@
 
 // lookup returns the prompt under a weight version. Its keys are computed once for a request; its
 // cache locations are looked up again in each round.
-func (p *Placer) lookup(ask *Ask, weights uint64) *versionedPrompt {
-	v := ask.version(weights)
-	if v.round == ask.round {
+func (p *Placer) lookup(req *PlacementRequest, weights uint64) *versionedPrompt {
+	v := req.version(weights)
+	if v.round == req.round {
 		return v
 	}
-	v.round = ask.round
-	v.sources = p.findSources(ask, weights, v.keys)
+	v.round = req.round
+	v.sources = p.findSources(req, weights, v.keys)
 	v.stores = v.stores[:0]
-	if p.storesUsable(ask.now, ask.Prompt.Model, weights) {
-		v.stores = p.appendStores(v.stores, v.salt, ask.Prompt.Parts)
+	if p.storesUsable(req.now, req.Prompt.Model, weights) {
+		v.stores = p.appendStores(v.stores, v.salt, req.Prompt.Parts)
 	}
 	return v
 }
 
 // version returns the prompt's entry for a weight version, and computes its keys if it is new.
-func (a *Ask) version(weights uint64) *versionedPrompt {
+func (a *PlacementRequest) version(weights uint64) *versionedPrompt {
 	for i := range a.versions {
 		if a.versions[i].weights == weights {
 			return &a.versions[i]
@@ -73,7 +73,7 @@
 }
 
 // cost estimates the time to the first token, or to a slot, with penalties.
-func (p *Placer) cost(now time.Time, t *target, ask *Ask) time.Duration {
+func (p *Placer) cost(now time.Time, t *target, req *PlacementRequest) time.Duration {
 	work := t.work()
 	cost := time.Duration(t.failureRate * float64(failurePenalty))
 	if !t.sameZone {
@@ -82,7 +82,7 @@
 	if p.cold(now, t) {
 		cost += coldPenalty
 	}
-	if t.engine == nil || ask.Prompt == nil {
+	if t.engine == nil || req.Prompt == nil {
 		return cost + slotWait(t, work)
 	}
 	if p.staleLoad(t) {
@@ -91,11 +91,11 @@
 	if t.phase == renewer.PhaseNext {
 		cost += weightLoadPenalty
 	}
-	weights := t.upstream.Weights[ask.Prompt.Model]
-	if weights < p.named[ask.Prompt.Model].Version {
-		cost += weightsPenalty(now.Sub(p.named[ask.Prompt.Model].Replaced(weights)))
+	weights := t.upstream.Weights[req.Prompt.Model]
+	if weights < p.named[req.Prompt.Model].Version {
+		cost += weightsPenalty(now.Sub(p.named[req.Prompt.Model].Replaced(weights)))
 	}
-	return cost + engineWait(t, ask, p.lookup(ask, weights), work)
+	return cost + engineWait(t, req, p.lookup(req, weights), work)
 }
 
 // slotWait estimates the wait for a slot of a plain service.
@@ -109,10 +109,10 @@
 	return wait
 }
 
-func engineWait(t *target, ask *Ask, prompt *versionedPrompt, work Work) time.Duration {
-	f := fetchPlan(t, ask, prompt)
+func engineWait(t *target, req *PlacementRequest, prompt *versionedPrompt, work Work) time.Duration {
+	f := fetchPlan(t, req, prompt)
 	cost := time.Duration(work.Requests)*runningPenalty + f.time
-	cost += t.scaled(ask.now, prefillTime(work.Pending+f.prefillTokens))
+	cost += t.scaled(req.now, prefillTime(work.Pending+f.prefillTokens))
 	if prompt.sources[0].target == nil && rendezvous(sharedKey(prompt.keys), t.hash)%8 == 0 {
 		cost -= affinityBonus
 	}
--- a/placer/doc.go
+++ b/placer/doc.go
@@ -18,7 +18,7 @@
 //
 //	p := placer.New(placer.Options{Seed: 1})
 //	p.Update(view)
-//	choice, verdict := p.Choose(now, &placer.Ask{Service: "engines", Prompt: prompt})
+//	choice, verdict := p.Choose(now, &placer.PlacementRequest{Service: "engines", Prompt: prompt})
 //	if verdict == placer.Busy { ... } // retry after Options.Eased is called
 //	choice.Ticket.First(now) // the first token has arrived
 //	choice.Ticket.Done(now, placer.ResultServed)
--- a/placer/home_test.go
+++ b/placer/home_test.go
@@ -32,9 +32,9 @@
 			p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 5_000_000})
 			seen := make(map[string]bool)
 			for i := range 40 {
-				ask := askFor(fmt.Sprint("x", i), "own")
-				ask.Homes = c.homes
-				got, verdict := p.Choose(start, ask)
+				req := askFor(fmt.Sprint("x", i), "own")
+				req.Homes = c.homes
+				got, verdict := p.Choose(start, req)
 				assert.Equal(t, verdict == Chosen, len(c.zones) > 0)
 				if verdict != Chosen {
 					return
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -83,8 +83,8 @@
 	return func(w uint64) string { return Salt{Model: "m", Weights: w, Workspace: workspace}.String() }
 }
 
-func askFor(shared string, own string) *Ask {
-	return &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Output: 20, Parts: []Part{{shared, 12800}, {own, 4000}}}}
+func askFor(shared string, own string) *PlacementRequest {
+	return &PlacementRequest{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Output: 20, Parts: []Part{{shared, 12800}, {own, 4000}}}}
 }
 
 func serve(p *Placer, now time.Time, c Choice) {
@@ -101,7 +101,7 @@
 		used[c.Upstream.ID]++
 	}
 	assert.Equal(t, len(used), 6, "%v", used)
-	short := &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}}
+	short := &PlacementRequest{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}}
 	p.targetByInstance("e3").own = Work{}
 	c, _ := p.Choose(start, short)
 	assert.Equal(t, c.Upstream.ID, "e3") // the only idle engine
@@ -183,12 +183,12 @@
 
 func TestRenewedEnginesArePreferred(t *testing.T) {
 	p := testPlacer(testView(3, 2, 1, 2, 1))
-	ask := askFor("x", "own")
-	c, _ := p.Choose(start, ask)
+	req := askFor("x", "own")
+	c, _ := p.Choose(start, req)
 	assert.Equal(t, c.Upstream.ID, "e1")
 	p.Renewing(map[string]renewer.Phase{"e1": renewer.PhaseNext})
 	p.targetByInstance("e1").own = Work{}
-	c, _ = p.Choose(start, ask)
+	c, _ = p.Choose(start, req)
 	assert.Assert(t, c.Upstream.ID != "e1")
 }
 
@@ -203,8 +203,8 @@
 	v.Named = state.View().Named
 	p := testPlacer(v)
 	p.targetByInstance("e1").own.Pending = 100000 // the engine with the newer weights has a long backlog
-	ask := askFor("x", "own")
-	c, _ := p.Choose(start, ask)
+	req := askFor("x", "own")
+	c, _ := p.Choose(start, req)
 	assert.Equal(t, c.Upstream.ID, "e1")
 }
 
@@ -213,20 +213,20 @@
 	p := testPlacer(testView(2, 1))
 	open, _ := p.Choose(start, askFor("x", "own"))
 	serve(p, start, open)
-	ask := askFor("x", "own")
-	ask.SaltOf = saltOf("w")
-	c, _ := p.Choose(start, ask)
+	req := askFor("x", "own")
+	req.SaltOf = saltOf("w")
+	c, _ := p.Choose(start, req)
 	assert.Assert(t, c.Fetch == nil)
 	assert.Equal(t, c.Basis.Missing, 16800)
 }
 
 func TestUnreachableUpstreamsBackOff(t *testing.T) {
 	p := testPlacer(testView(0, 1))
-	ask := &Ask{Service: "plain"}
-	c, _ := p.Choose(start, ask)
+	req := &PlacementRequest{Service: "plain"}
+	c, _ := p.Choose(start, req)
 	c.Ticket.Done(start, ResultUnreached)
 	for range 5 {
-		d, verdict := p.Choose(start, ask)
+		d, verdict := p.Choose(start, req)
 		assert.Assert(t, verdict == Chosen && d.Upstream.ID != c.Upstream.ID)
 	}
 	for _, tg := range p.targets {
@@ -234,9 +234,9 @@
 	}
 	later := start.Add(initialBackoff)
 	p.targetByInstance(c.Upstream.ID).failureRate = 0
-	one, _ := p.Choose(later, &Ask{Service: "plain", Exclude: []string{otherPlain(c.Upstream.ID)}})
+	one, _ := p.Choose(later, &PlacementRequest{Service: "plain", Exclude: []string{otherPlain(c.Upstream.ID)}})
 	assert.Equal(t, one.Upstream.ID, c.Upstream.ID) // one request probes it
-	two, _ := p.Choose(later, ask)
+	two, _ := p.Choose(later, req)
 	assert.Equal(t, two.Upstream.ID, otherPlain(c.Upstream.ID)) // no other request goes there until the probe has ended
 }
 
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -16,12 +16,12 @@
 }
 
 // fetchPlan estimates the transfers for a prompt at an engine.
-func fetchPlan(t *target, ask *Ask, prompt *versionedPrompt) fetchEstimate {
-	parts := ask.Prompt.Parts
+func fetchPlan(t *target, req *PlacementRequest, prompt *versionedPrompt) fetchEstimate {
+	parts := req.Prompt.Parts
 	n, cached := t.cache.leading(prompt.keys, parts)
-	f := fetchEstimate{cachedParts: n, availableParts: n, cachedTokens: cached, prefillTokens: ask.Prompt.Tokens() - cached}
+	f := fetchEstimate{cachedParts: n, availableParts: n, cachedTokens: cached, prefillTokens: req.Prompt.Tokens() - cached}
 	for f.availableParts < len(parts) {
-		_, took, ok := prompt.supplier(ask, t, f.availableParts, parts[f.availableParts].Tokens)
+		_, took, ok := prompt.supplier(req, t, f.availableParts, parts[f.availableParts].Tokens)
 		if !ok {
 			break
 		}
@@ -50,15 +50,15 @@
 // whose content is known, is preferred to an engine, which may have evicted the part, unless the
 // store's transfer takes longer than the prefill. It returns false if there is no source or prefill
 // is faster.
-func (v *versionedPrompt) supplier(ask *Ask, t *target, part, tokens int) (supplier, time.Duration, bool) {
+func (v *versionedPrompt) supplier(req *PlacementRequest, t *target, part, tokens int) (supplier, time.Duration, bool) {
 	other := v.sources.excluding(t)
 	if part < len(v.stores) {
 		st := v.stores[part]
-		took := st.fetchTime(ask.now, t, tokens)
+		took := st.fetchTime(req.now, t, tokens)
 		if part < other.parts && took > prefillTime(tokens) && other.target.hasSpareMemory() {
 			return supplier{engine: other.target}, engineFetchTime(t, tokens), true
 		}
-		if worthFetching(took, tokens, ask.Objective) {
+		if worthFetching(took, tokens, req.Objective) {
 			return supplier{store: st}, took, true
 		}
 	}
@@ -84,13 +84,13 @@
 
 // plan records in the choice and the ticket what the chosen engine fetches, saves and prefills, and
 // the request's share of its load.
-func (p *Placer) plan(now time.Time, ask *Ask, t *target, c *Choice, tk *Ticket) {
-	parts := ask.Prompt.Parts
-	prompt := p.lookup(ask, c.Weights)
-	f := fetchPlan(t, ask, prompt)
-	p.planFetches(ask, t, prompt, &f, c, tk)
-	if c.Weights >= p.named[ask.Prompt.Model].Version {
-		c.Save = p.planSaves(now, ask, prompt.salt)
+func (p *Placer) plan(now time.Time, req *PlacementRequest, t *target, c *Choice, tk *Ticket) {
+	parts := req.Prompt.Parts
+	prompt := p.lookup(req, c.Weights)
+	f := fetchPlan(t, req, prompt)
+	p.planFetches(req, t, prompt, &f, c, tk)
+	if c.Weights >= p.named[req.Prompt.Model].Version {
+		c.Save = p.planSaves(now, req, prompt.salt)
 	}
 	c.Basis.Stored = len(prompt.stores)
 	for _, address := range c.Save {
@@ -102,27 +102,27 @@
 	c.Basis.Behind = prefillTime(c.Basis.Work.Pending)
 	c.Basis.Reading = prefillTime(f.prefillTokens)
 	c.Basis.Fetching = f.time
-	c.Basis.Replaced = c.Weights < p.named[ask.Prompt.Model].Version
+	c.Basis.Replaced = c.Weights < p.named[req.Prompt.Model].Version
 	c.Basis.Alone = parts[len(parts)-1].Tokens
 	if len(parts) > 1 {
 		c.Basis.Shared = sharedKey(prompt.keys)
 	}
-	c.Basis.Moved = ask.Prompt.Tokens() - f.prefillTokens - f.cachedTokens
+	c.Basis.Moved = req.Prompt.Tokens() - f.prefillTokens - f.cachedTokens
 	tk.prefillTokens = f.prefillTokens
 	tk.firstPrefilled = f.availableParts
 	tk.idle = c.Basis.Work.Pending < maxIdlePending
 	tk.work.Pending = f.prefillTokens
-	tk.work.Memory = ask.size
+	tk.work.Memory = req.size
 	// The last part is the request's own: no other request can share it.
 	tk.keys, tk.parts = prompt.keys[:len(prompt.keys)-1], parts[:len(parts)-1]
 }
 
 // planFetches names a source for each part, also for parts that the engine is believed to cache: if
 // it has evicted an early one, it would otherwise prefill all parts behind it.
-func (p *Placer) planFetches(ask *Ask, t *target, prompt *versionedPrompt, f *fetchEstimate, c *Choice, tk *Ticket) {
-	parts := ask.Prompt.Parts
+func (p *Placer) planFetches(req *PlacementRequest, t *target, prompt *versionedPrompt, f *fetchEstimate, c *Choice, tk *Ticket) {
+	parts := req.Prompt.Parts
 	for i := range f.availableParts {
-		s, _, ok := prompt.supplier(ask, t, i, parts[i].Tokens)
+		s, _, ok := prompt.supplier(req, t, i, parts[i].Tokens)
 		if !ok {
 			continue
 		}
@@ -133,7 +133,7 @@
 		if s.store == nil {
 			continue
 		}
-		c.Until = p.fetchDeadline(ask.now)
+		c.Until = p.fetchDeadline(req.now)
 		if i >= f.cachedParts {
 			tk.addTransfer(s.store, parts[i].Tokens)
 		}
@@ -162,12 +162,12 @@
 
 // planSaves returns for each part the address of the store to save it to, or nil if there is
 // nothing to save.
-func (p *Placer) planSaves(now time.Time, ask *Ask, salt string) []string {
+func (p *Placer) planSaves(now time.Time, req *PlacementRequest, salt string) []string {
 	var out []string
-	parts := ask.Prompt.Parts
+	parts := req.Prompt.Parts
 	for i, part := range parts[:len(parts)-1] {
 		name := PartName{Salt: salt, ID: part.ID}
-		st := p.saveTarget(now, ask, name, part.Tokens)
+		st := p.saveTarget(now, req, name, part.Tokens)
 		if st == nil {
 			continue
 		}
--- a/placer/progress.go
+++ b/placer/progress.go
@@ -107,12 +107,12 @@
 }
 
 // wait returns the prefill that a request should wait for; the zero value if there is none.
-func (p *Placer) wait(now time.Time, ask *Ask) Wait {
-	if ask.Prompt == nil || ask.Due.IsZero() {
+func (p *Placer) wait(now time.Time, req *PlacementRequest) Wait {
+	if req.Prompt == nil || req.Due.IsZero() {
 		return Wait{}
 	}
-	prompt := p.lookup(ask, p.usualWeights(ask.Prompt.Model))
-	parts := ask.Prompt.Parts
+	prompt := p.lookup(req, p.usualWeights(req.Prompt.Model))
+	parts := req.Prompt.Parts
 	next := max(len(prompt.stores), prompt.sources[0].parts)
 	if next >= len(parts)-1 || parts[next].Tokens < minAwaitTokens {
 		return Wait{}
@@ -122,7 +122,7 @@
 		return Wait{}
 	}
 	left := running.end.Sub(now)
-	if first := left + LeastTime(ask.Prompt); first > ask.Due.Sub(now) && first > awaitLimit(parts[next:]) {
+	if first := left + LeastTime(req.Prompt); first > req.Due.Sub(now) && first > awaitLimit(parts[next:]) {
 		return Wait{}
 	}
 	return Wait{Done: running.done, Timeout: left + time.Duration(awaitLateShare*float64(running.within)) + awaitGrace}
--- a/placer/progress_test.go
+++ b/placer/progress_test.go
@@ -19,11 +19,11 @@
 	}
 }
 
-// dueAsk returns a request that must have its first byte within a time.
-func dueAsk(now time.Time, within time.Duration, shared, own string) *Ask {
-	ask := askFor(shared, own)
-	ask.Due = now.Add(within)
-	return ask
+// dueRequest returns a request that must have its first byte within a time.
+func dueRequest(now time.Time, within time.Duration, shared, own string) *PlacementRequest {
+	req := askFor(shared, own)
+	req.Due = now.Add(within)
+	return req
 }
 
 // TestRunningPrefillIsAwaited checks that requests on any host wait for a running prefill of a
@@ -33,21 +33,21 @@
 	v := testView(3, 1)
 	v.Named = nil // no weight version is named yet
 	a, b := testPlacer(v), testPlacer(v)
-	first, verdict := a.Choose(start, dueAsk(start, within, "x", "own"))
+	first, verdict := a.Choose(start, dueRequest(start, within, "x", "own"))
 	assert.Equal(t, verdict, Chosen, "no prefill is running")
 	b.Heard(start, "a", a.Changes())
 	now := start.Add(100 * time.Millisecond)
-	var waits []*Ask
+	var waits []*PlacementRequest
 	for _, p := range []*Placer{a, b} {
-		ask := dueAsk(now, within, "x", "own2")
-		_, verdict = p.Choose(now, ask)
+		req := dueRequest(now, within, "x", "own2")
+		_, verdict = p.Choose(now, req)
 		assert.Equal(t, verdict, Awaits)
-		assert.Assert(t, !closed(ask.Wait) && ask.Wait.Timeout < time.Second)
-		waits = append(waits, ask)
+		assert.Assert(t, !closed(req.Wait) && req.Wait.Timeout < time.Second)
+		waits = append(waits, req)
 
-		_, verdict = p.Choose(now, dueAsk(now, 100*time.Millisecond, "x", "own3"))
+		_, verdict = p.Choose(now, dueRequest(now, 100*time.Millisecond, "x", "own3"))
 		assert.Equal(t, verdict, Awaits, "it would be late with its own prefill too")
-		other, verdict := p.Choose(now, dueAsk(now, within, "y"+string(rune(len(waits))), "own4"))
+		other, verdict := p.Choose(now, dueRequest(now, within, "y"+string(rune(len(waits))), "own4"))
 		assert.Equal(t, verdict, Chosen, "no prefill of this part is running")
 		other.Ticket.Done(now, ResultFailed)
 	}
@@ -61,12 +61,12 @@
 	}
 
 	// A request that ends before its prefill ends the wait of others on its host.
-	second, _ := a.Choose(now, dueAsk(now, within, "z", "own"))
-	ask := dueAsk(now, within, "z", "own2")
-	_, verdict = a.Choose(now, ask)
+	second, _ := a.Choose(now, dueRequest(now, within, "z", "own"))
+	req := dueRequest(now, within, "z", "own2")
+	_, verdict = a.Choose(now, req)
 	assert.Equal(t, verdict, Awaits)
 	second.Ticket.Done(now, ResultFailed)
-	assert.Assert(t, closed(ask.Wait))
-	_, verdict = a.Choose(now, ask)
+	assert.Assert(t, closed(req.Wait))
+	_, verdict = a.Choose(now, req)
 	assert.Equal(t, verdict, Chosen)
 }
--- a/placer/replaced.go
+++ b/placer/replaced.go
@@ -37,12 +37,12 @@
 
 // expired reports whether an engine's weights were replaced too long ago for a request to begin on
 // them. Such an engine is used only if there is no renewed one, not even a busy one.
-func (p *Placer) expired(now time.Time, t *target, ask *Ask) bool {
-	if t.engine == nil || ask.Prompt == nil {
+func (p *Placer) expired(now time.Time, t *target, req *PlacementRequest) bool {
+	if t.engine == nil || req.Prompt == nil {
 		return false
 	}
-	named := p.named[ask.Prompt.Model]
-	weights := t.upstream.Weights[ask.Prompt.Model]
+	named := p.named[req.Prompt.Model]
+	weights := t.upstream.Weights[req.Prompt.Model]
 	return weights < named.Version && now.Sub(named.Replaced(weights)) > p.replacedLifetime()
 }
 
--- a/placer/saver.go
+++ b/placer/saver.go
@@ -25,7 +25,7 @@
 // saveTarget returns the store that a part is to be saved to, or nil if one holds it, a save of it
 // is pending, or none has room. All hosts choose alike, by rendezvous hashing weighted by the
 // stores' link rates and free room.
-func (p *Placer) saveTarget(now time.Time, ask *Ask, name PartName, tokens int) *store {
+func (p *Placer) saveTarget(now time.Time, req *PlacementRequest, name PartName, tokens int) *store {
 	var best *store
 	var maxWeight float64
 	for _, st := range p.stores {
@@ -35,7 +35,7 @@
 		if st.held[name] > 0 {
 			return nil
 		}
-		if !p.allowedIn(ask, st.service.AvailabilityZone) {
+		if !p.allowedIn(req, st.service.AvailabilityZone) {
 			continue
 		}
 		if !st.up || st.evacuated || !st.hasRoom(now, tokens) {
--- a/placer/saver_test.go
+++ b/placer/saver_test.go
@@ -33,7 +33,7 @@
 		p.stores["fast:1"].used = int(c.used * 200_000)
 		fast, all := 0, 1000
 		for i := range all {
-			if p.saveTarget(start, &Ask{}, PartName{Salt: "s", ID: fmt.Sprint(i)}, 100) == p.stores["fast:1"] {
+			if p.saveTarget(start, &PlacementRequest{}, PartName{Salt: "s", ID: fmt.Sprint(i)}, 100) == p.stores["fast:1"] {
 				fast++
 			}
 		}
@@ -66,7 +66,7 @@
 			for address := range p.stores {
 				p.StoreHeard(start, address, StoreNews{Epoch: 1, Next: 1, Clock: 1})
 			}
-			addresses[j] = p.saveTarget(start, &Ask{}, name, 100).service.Address
+			addresses[j] = p.saveTarget(start, &PlacementRequest{}, name, 100).service.Address
 		}
 		assert.Equal(t, addresses[0], addresses[1])
 		chosen[addresses[0]]++
--- a/placer/silence_test.go
+++ b/placer/silence_test.go
@@ -53,7 +53,7 @@
 		switch fields[1] {
 		case "send":
 			others := slices.DeleteFunc(slices.Clone(engines), func(e string) bool { return e == id })
-			choice, verdict := p.Choose(now, &Ask{Service: "engines", SaltOf: saltOf(""), Exclude: others, Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}})
+			choice, verdict := p.Choose(now, &PlacementRequest{Service: "engines", SaltOf: saltOf(""), Exclude: others, Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}})
 			assert.Equal(t, verdict, Chosen)
 			choice.Ticket.OnSilent(func() { callbacks++ })
 			sent[id] = choice.Ticket
--- a/placer/sources.go
+++ b/placer/sources.go
@@ -23,16 +23,16 @@
 // findSources finds the engines of a weight version that cache the longest prefixes of a prompt,
 // from the deepest part on. Suspect engines are left out, since a fetch from one that does not
 // answer is slow.
-func (p *Placer) findSources(ask *Ask, weights uint64, keys []PartKey) sources {
+func (p *Placer) findSources(req *PlacementRequest, weights uint64, keys []PartKey) sources {
 	var s sources
 	for i := len(keys) - 1; i >= 0 && s[1].parts <= i; i-- {
 		holders := p.cacheIndex[keys[i]]
 		for _, t := range slices.Backward(holders[max(0, len(holders)-maxHoldersPerPart):]) {
-			if !t.listed || t.upstream.Service != ask.Service || t.suspect(ask.now) ||
-				t.upstream.Weights[ask.Prompt.Model] != weights || s.has(t) {
+			if !t.listed || t.upstream.Service != req.Service || t.suspect(req.now) ||
+				t.upstream.Weights[req.Prompt.Model] != weights || s.has(t) {
 				continue
 			}
-			n, tokens := t.cache.leading(keys, ask.Prompt.Parts)
+			n, tokens := t.cache.leading(keys, req.Prompt.Parts)
 			s.add(source{target: t, parts: n, tokens: tokens})
 		}
 	}
--- a/placer/sources_test.go
+++ b/placer/sources_test.go
@@ -48,7 +48,7 @@
 				p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name(id), Tokens: tokens[id]}}})
 			}
 			p.stores["s1:1"].own.Pending = c.Waiting
-			got, verdict := p.Choose(start, &Ask{
+			got, verdict := p.Choose(start, &PlacementRequest{
 				Service: "engines", SaltOf: saltOf(""), Prompt: prompt,
 				Exclude: []string{"e1"}, Objective: c.Objective.Std(),
 			})
