--- a/placer/choice.go
+++ b/placer/choice.go
@@ -18,8 +18,8 @@
 	// SaltOf returns the cache salt of a weight version.
 	SaltOf  func(weights uint64) string
 	Exclude []string
-	// Apart is set for a request during which upstreams have ended.
-	Apart Apart
+	// Isolation is set for a request during which upstreams have ended.
+	Isolation Isolation
 	// Homes are lists of regions that may serve the request. Each list that is not empty applies.
 	Homes [][]string
 	// Due is when the first byte must arrive to be on time. If it is zero, the request does not
@@ -161,7 +161,7 @@
 	if !pl.large() && !p.anyAdmits(pl, req) {
 		return nil, 0, Busy
 	}
-	if req.Apart.requested() {
+	if req.Isolation.requested() {
 		return p.chooseIsolated(now, req)
 	}
 	var s shortlist
