--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -94,7 +94,7 @@
 		d.placementReason = ReasonBarred
 		return false
 	case quarantiner.Suspect:
-		ask.Isolation = placer.Isolation{Key: id.Key(), Ends: v.Ends}
+		ask.Isolation = placer.Isolation{Key: id.Key(), EndedInstances: v.Ends}
 		ask.Due = time.Time{} // suspect requests do not wait for the prefill of another
 	}
 	return true
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -209,7 +209,7 @@
 		req.done(req, false)
 		return
 	case v.Standing == quarantiner.Suspect && m.policy == EndsIsolated:
-		ask.Isolation = placer.Isolation{Key: req.id.Key(), Ends: v.Ends}
+		ask.Isolation = placer.Isolation{Key: req.id.Key(), EndedInstances: v.Ends}
 	case v.Standing == quarantiner.Suspect && m.policy == EndsLeastLoaded:
 		ask.Exclude = m.allButLeastLoaded(req)
 	}
--- a/placer/apart.go
+++ b/placer/apart.go
@@ -10,12 +10,12 @@
 
 // Isolation asks for isolation of a request that may crash the upstream that runs it.
 type Isolation struct {
-	Key  uint64   // Key identifies the request; all copies have the same key at every host.
-	Ends []string // Ends are the upstream instances that ended while they ran it.
+	Key            uint64   // Key identifies the request; all copies have the same key at every host.
+	EndedInstances []string // EndedInstances are the upstream instances that ended while they ran it.
 }
 
 // requested reports whether isolation is asked for.
-func (a *Isolation) requested() bool { return len(a.Ends) > 0 }
+func (a *Isolation) requested() bool { return len(a.EndedInstances) > 0 }
 
 // chooseIsolated chooses the upstream of a request that asks for isolation: by rendezvous rank,
 // which is the same at all hosts and differs between requests, instead of by cost. Copies of a
@@ -26,7 +26,7 @@
 	var maxRank uint64
 	for _, m := range p.pools[req.Service].all {
 		t := p.targetOf(m)
-		if !p.eligible(t, req) || slices.Contains(req.Isolation.Ends, t.instance) {
+		if !p.eligible(t, req) || slices.Contains(req.Isolation.EndedInstances, t.instance) {
 			continue
 		}
 		var single shortlist
--- a/placer/apart_test.go
+++ b/placer/apart_test.go
@@ -13,7 +13,7 @@
 // isolatedRequest returns a request that asks for isolation.
 func isolatedRequest(key uint64, ends ...string) *PlacementRequest {
 	req := askFor("shared", fmt.Sprint("own", key))
-	req.Isolation = Isolation{Key: key, Ends: ends}
+	req.Isolation = Isolation{Key: key, EndedInstances: ends}
 	return req
 }
 
