--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -99,9 +99,9 @@
 	if ask.Objective > 0 {
 		ask.Due = d.request.Start.Add(ask.Objective)
 	}
-	ask.Homes = append(ask.Homes, d.route.Regions)
+	ask.Regions = append(ask.Regions, d.route.Regions)
 	if d.workspace != nil {
-		ask.Homes = append(ask.Homes, d.workspace.Regions)
+		ask.Regions = append(ask.Regions, d.workspace.Regions)
 	}
 	return ask
 }
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -20,8 +20,8 @@
 	Exclude []string
 	// Isolation is set for a request during which upstreams have ended.
 	Isolation Isolation
-	// Homes are lists of regions that may serve the request. Each list that is not empty applies.
-	Homes [][]string
+	// Regions are lists of regions that may serve the request. Each list that is not empty applies.
+	Regions [][]string
 	// Due is when the first byte must arrive to be on time. If it is zero, the request does not
 	// wait for another request's prefill.
 	Due time.Time
--- a/placer/home_test.go
+++ b/placer/home_test.go
@@ -33,7 +33,7 @@
 			seen := make(map[string]bool)
 			for i := range 40 {
 				req := askFor(fmt.Sprint("x", i), "own")
-				req.Homes = c.homes
+				req.Regions = c.homes
 				got, verdict := p.Choose(start, req)
 				assert.Equal(t, verdict == Chosen, len(c.zones) > 0)
 				if verdict != Chosen {
