--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -66,7 +66,7 @@
 	defer func() { d.outcome.Waited += d.opts.Timer.Now().Sub(start) }()
 	for range maxPrefillWaits {
 		choice, verdict := d.awaitUpstream(ctx, ask)
-		if verdict != placer.Awaits {
+		if verdict != placer.AwaitPrefill {
 			return choice, verdict == placer.Chosen
 		}
 		d.awaitPrefill(ctx, ask.Wait)
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -221,7 +221,7 @@
 	switch verdict {
 	case placer.Chosen:
 		m.startRun(req, choice)
-	case placer.Busy, placer.Awaits:
+	case placer.Busy, placer.AwaitPrefill:
 		m.after(endsPollInterval, func() { m.place(req) })
 	default:
 		req.done(req, false)
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -25,7 +25,7 @@
 	// Due is when the first byte must arrive to be on time. If it is zero, the request does not
 	// wait for another request's prefill.
 	Due time.Time
-	// Wait is set if Choose returns Awaits.
+	// Wait is set if Choose returns AwaitPrefill.
 	Wait Wait
 	// Objective is the target time to the first byte; 0 if there is none.
 	Objective time.Duration
@@ -91,9 +91,9 @@
 	Chosen Verdict = "Chosen"
 	// Busy means that no upstream can begin the request now, but one will.
 	Busy Verdict = "Busy"
-	// Awaits means that another request's prefill covers a leading part of the prompt and that the
+	// AwaitPrefill means that another request's prefill covers a leading part of the prompt and that the
 	// request should wait for it.
-	Awaits Verdict = "Awaits"
+	AwaitPrefill Verdict = "Awaits"
 	// None means that the service has no upstream for the request.
 	None Verdict = "None"
 )
@@ -108,7 +108,7 @@
 		req.size = req.Prompt.Tokens() + req.Prompt.Output
 	}
 	if req.Wait = p.wait(now, req); req.Wait.Done != nil {
-		return Choice{}, Awaits
+		return Choice{}, AwaitPrefill
 	}
 	best, estimate, verdict := p.best(now, req)
 	if verdict != Chosen {
--- a/placer/progress_test.go
+++ b/placer/progress_test.go
@@ -41,12 +41,12 @@
 	for _, p := range []*Placer{a, b} {
 		req := dueRequest(now, within, "x", "own2")
 		_, verdict = p.Choose(now, req)
-		assert.Equal(t, verdict, Awaits)
+		assert.Equal(t, verdict, AwaitPrefill)
 		assert.Assert(t, !closed(req.Wait) && req.Wait.Timeout < time.Second)
 		waits = append(waits, req)
 
 		_, verdict = p.Choose(now, dueRequest(now, 100*time.Millisecond, "x", "own3"))
-		assert.Equal(t, verdict, Awaits, "it would be late with its own prefill too")
+		assert.Equal(t, verdict, AwaitPrefill, "it would be late with its own prefill too")
 		other, verdict := p.Choose(now, dueRequest(now, within, "y"+string(rune(len(waits))), "own4"))
 		assert.Equal(t, verdict, Chosen, "no prefill of this part is running")
 		other.Ticket.Done(now, ResultFailed)
@@ -64,7 +64,7 @@
 	second, _ := a.Choose(now, dueRequest(now, within, "z", "own"))
 	req := dueRequest(now, within, "z", "own2")
 	_, verdict = a.Choose(now, req)
-	assert.Equal(t, verdict, Awaits)
+	assert.Equal(t, verdict, AwaitPrefill)
 	second.Ticket.Done(now, ResultFailed)
 	assert.Assert(t, closed(req.Wait))
 	_, verdict = a.Choose(now, req)
