--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -207,7 +207,7 @@
 	case r.Failure == nil:
 		return placer.ResultFailed
 	case r.Failure.Cause == forwarder.CauseConnect:
-		return placer.ResultUnreached
+		return placer.ResultUnreachable
 	case r.Verdict == dispatcher.NotRun:
 		return placer.ResultRefused
 	case ctx.Err() == context.Canceled:
--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -54,7 +54,7 @@
 		if d.opts.Ended != nil {
 			d.opts.Ended(Ended{RequestID: d.request.ID, Identity: d.outcome.Identity, Upstream: u})
 		}
-		return placer.ResultUnreached
+		return placer.ResultUnreachable
 	}
 	switch {
 	case r.Failure != nil && r.Failure.NoListener:
--- a/experimenter/endsrun.go
+++ b/experimenter/endsrun.go
@@ -18,7 +18,7 @@
 	req.triedEngines = append(req.triedEngines, c.Upstream.ID)
 	e := m.engineOf(c)
 	if !e.up || e.born != c.Upstream.Born {
-		c.Ticket.Done(m.clock(), placer.ResultUnreached)
+		c.Ticket.Done(m.clock(), placer.ResultUnreachable)
 		m.retry(req)
 		return
 	}
@@ -79,7 +79,7 @@
 	e.runs = nil
 	for _, r := range lost {
 		req := r.request
-		r.choice.Ticket.Done(m.clock(), placer.ResultUnreached)
+		r.choice.Ticket.Done(m.clock(), placer.ResultUnreachable)
 		req.host.ledger.Ended(m.clock(), req.id, instance, r.sent)
 		if !req.bad && !req.interrupted {
 			req.interrupted = true
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -144,7 +144,7 @@
 
 	_, p = fresh()
 	c, _ := p.Choose(start, askFor("x", "own"))
-	c.Ticket.Done(start, ResultUnreached)
+	c.Ticket.Done(start, ResultUnreachable)
 	now := start.Add(initialBackoff)
 	c, verdict := p.Choose(now, askFor("x", "own"))
 	assert.Equal(t, verdict, Chosen)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -224,7 +224,7 @@
 	p := testPlacer(testView(0, 1))
 	req := &PlacementRequest{Service: "plain"}
 	c, _ := p.Choose(start, req)
-	c.Ticket.Done(start, ResultUnreached)
+	c.Ticket.Done(start, ResultUnreachable)
 	for range 5 {
 		d, verdict := p.Choose(start, req)
 		assert.Assert(t, verdict == Chosen && d.Upstream.ID != c.Upstream.ID)
--- a/placer/ticket.go
+++ b/placer/ticket.go
@@ -12,8 +12,8 @@
 	ResultServed Result = "Served"
 	ResultFailed Result = "Failed" // ResultFailed is an error that counts against the upstream.
 	// ResultRefused means that the upstream was full or not the expected instance.
-	ResultRefused   Result = "Refused"
-	ResultUnreached Result = "Unreached" // ResultUnreached means that no connection was established.
+	ResultRefused     Result = "Refused"
+	ResultUnreachable Result = "Unreached" // ResultUnreachable means that no connection was established.
 	// ResultCaller means that the caller left; it says nothing of the upstream.
 	ResultCaller Result = "Caller"
 )
@@ -117,7 +117,7 @@
 		}
 	case ResultFailed, ResultRefused:
 		t.failed() // a full upstream also is a worse choice for a while
-	case ResultUnreached:
+	case ResultUnreachable:
 		t.markUnreachable(now)
 	default:
 		t.probing = false
