--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -211,7 +211,7 @@
 	case r.Verdict == dispatcher.NotRun:
 		return placer.ResultRefused
 	case ctx.Err() == context.Canceled:
-		return placer.ResultCaller
+		return placer.ResultCallerGone
 	}
 	return placer.ResultFailed
 }
--- a/placer/apart_test.go
+++ b/placer/apart_test.go
@@ -20,7 +20,7 @@
 func chosen(t *testing.T, p *Placer, req *PlacementRequest) string {
 	c, verdict := p.Choose(start, req)
 	assert.Equal(t, verdict, Chosen)
-	c.Ticket.Done(start, ResultCaller)
+	c.Ticket.Done(start, ResultCallerGone)
 	return c.Upstream.ID
 }
 
--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -90,7 +90,7 @@
 	for i := range tries {
 		if c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i))); verdict == Chosen {
 			chosen++
-			c.Ticket.Done(start, ResultCaller)
+			c.Ticket.Done(start, ResultCallerGone)
 		}
 	}
 	assert.Equal(t, chosen, tries)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -137,7 +137,7 @@
 	choose := func(now time.Time) Choice {
 		c, verdict := p.Choose(now, askFor("x", "own"))
 		assert.Equal(t, verdict, Chosen)
-		c.Ticket.Done(now, ResultCaller) // the caller leaves before the prefill
+		c.Ticket.Done(now, ResultCallerGone) // the caller leaves before the prefill
 		return c
 	}
 	c := choose(start)
@@ -253,7 +253,7 @@
 	}
 	c, _ := p.Choose(start, askFor("x", "own"))
 	assert.Assert(t, c.Fetch == nil)
-	c.Ticket.Done(start, ResultCaller)
+	c.Ticket.Done(start, ResultCallerGone)
 	later := start.Add(time.Second)
 	p.Trust(later.Add(30 * time.Second))
 	c, _ = p.Choose(later.Add(30*time.Second), askFor("x", "own"))
--- a/placer/ticket.go
+++ b/placer/ticket.go
@@ -14,8 +14,8 @@
 	// ResultRefused means that the upstream was full or not the expected instance.
 	ResultRefused     Result = "Refused"
 	ResultUnreachable Result = "Unreached" // ResultUnreachable means that no connection was established.
-	// ResultCaller means that the caller left; it says nothing of the upstream.
-	ResultCaller Result = "Caller"
+	// ResultCallerGone means that the caller left; it says nothing of the upstream.
+	ResultCallerGone Result = "Caller"
 )
 
 // Ticket is a request in flight at an upstream.
