--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -62,7 +62,7 @@
 		c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i)))
 		assert.Equal(t, verdict, Chosen)
 		assert.Assert(t, work[c.Upstream.Start()].Requests == 0, c.Upstream.ID)
-		assert.Assert(t, c.Basis.Missing <= 4000, "%d tokens are prefilled again", c.Basis.Missing)
+		assert.Assert(t, c.Basis.PrefillTokens <= 4000, "%d tokens are prefilled again", c.Basis.PrefillTokens)
 		c.Ticket.Done(start, ResultServed)
 	}
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -129,7 +129,7 @@
 	c, _ := p.Choose(start, askFor("x", "own2"))
 	assert.Assert(t, c.Upstream.ID != first.Upstream.ID)
 	assert.DeepEqual(t, c.Fetch, []string{first.Upstream.Address, ""})
-	assert.Equal(t, c.Basis.Missing, 4000)
+	assert.Equal(t, c.Basis.PrefillTokens, 4000)
 }
 
 func TestPartsAreSavedOnceAndFetchedFromStores(t *testing.T) {
@@ -217,7 +217,7 @@
 	req.SaltOf = saltOf("w")
 	c, _ := p.Choose(start, req)
 	assert.Assert(t, c.Fetch == nil)
-	assert.Equal(t, c.Basis.Missing, 16800)
+	assert.Equal(t, c.Basis.PrefillTokens, 16800)
 }
 
 func TestUnreachableUpstreamsBackOff(t *testing.T) {
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -98,7 +98,7 @@
 			c.Basis.Saved++
 		}
 	}
-	c.Basis.Missing = f.prefillTokens
+	c.Basis.PrefillTokens = f.prefillTokens
 	c.Basis.Behind = prefillTime(c.Basis.Work.Pending)
 	c.Basis.Reading = prefillTime(f.prefillTokens)
 	c.Basis.Fetching = f.time
--- a/placer/progress_test.go
+++ b/placer/progress_test.go
@@ -57,7 +57,7 @@
 		assert.Assert(t, closed(waits[i].Wait))
 		c, verdict := p.Choose(now, waits[i])
 		assert.Equal(t, verdict, Chosen)
-		assert.Equal(t, c.Basis.Missing, 4000)
+		assert.Equal(t, c.Basis.PrefillTokens, 4000)
 	}
 
 	// A request that ends before its prefill ends the wait of others on its host.
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -20,7 +20,7 @@
 	first, _ := p.Choose(start, askFor("shared", "own"))
 	serve(p, start, first)
 	open, _ := p.Choose(start, askFor("shared", "own2"))
-	assert.Equal(t, open.Basis.Missing, 4000)
+	assert.Equal(t, open.Basis.PrefillTokens, 4000)
 	callbacks := 0
 	open.Ticket.OnSilent(func() { callbacks++ })
 	former := p.members["e0"].instance
@@ -36,7 +36,7 @@
 	open.Ticket.Done(start, ResultFailed) // must not change the work of the new instance
 	again, verdict := p.Choose(start, askFor("shared", "own3"))
 	assert.Equal(t, verdict, Chosen)
-	assert.Equal(t, again.Basis.Missing, 16800)
+	assert.Equal(t, again.Basis.PrefillTokens, 16800)
 	assert.Equal(t, again.Basis.Work, Work{})
 	assert.Equal(t, p.Report().Work[p.members["e0"].instance].Requests, 1)
 	assert.Equal(t, len(p.Changes().Work), 0)
--- a/placer/sources_test.go
+++ b/placer/sources_test.go
@@ -54,7 +54,7 @@
 			})
 			assert.Equal(t, verdict, Chosen)
 			assert.DeepEqual(t, got.Fetch, c.Fetch)
-			assert.Equal(t, got.Basis.Missing, c.Missing)
+			assert.Equal(t, got.Basis.PrefillTokens, c.Missing)
 		})
 	}
 }
