--- a/placer/choice.go
+++ b/placer/choice.go
@@ -54,17 +54,17 @@
 type Basis struct {
 	// Estimate is the cost of the choice: the time to the first token or to a slot, with
 	// penalties.
-	Estimate      time.Duration
-	Work          Work          // Work is that of all hosts at the upstream.
-	PrefillTokens int           // PrefillTokens is the number of prompt tokens to prefill.
-	Alone         int           // Alone is the number of tokens of the last part, which no other request shares.
-	Moved         int           // Moved is the number of prompt tokens to fetch.
-	Behind        time.Duration // Behind is the estimated prefill time of the upstream's backlog.
-	Reading       time.Duration // Reading is the estimated prefill time of the missing tokens.
-	Fetching      time.Duration // Fetching is the estimated time of the transfers.
-	Replaced      bool          // Replaced reports that a newer weight version than the upstream's was named.
-	Stored        int           // Stored is the number of leading parts that stores hold.
-	Saved         int           // Saved is the number of parts to save to stores.
+	Estimate       time.Duration
+	Work           Work          // Work is that of all hosts at the upstream.
+	PrefillTokens  int           // PrefillTokens is the number of prompt tokens to prefill.
+	UnsharedTokens int           // UnsharedTokens is the number of tokens of the last part, which no other request shares.
+	Moved          int           // Moved is the number of prompt tokens to fetch.
+	Behind         time.Duration // Behind is the estimated prefill time of the upstream's backlog.
+	Reading        time.Duration // Reading is the estimated prefill time of the missing tokens.
+	Fetching       time.Duration // Fetching is the estimated time of the transfers.
+	Replaced       bool          // Replaced reports that a newer weight version than the upstream's was named.
+	Stored         int           // Stored is the number of leading parts that stores hold.
+	Saved          int           // Saved is the number of parts to save to stores.
 	// Shared is the key of the last part that other requests may share; 0 if there is none.
 	Shared   PartKey
 	PeersAge time.Duration // PeersAge is the age of the oldest report of another host that was counted.
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -103,7 +103,7 @@
 	c.Basis.Reading = prefillTime(f.prefillTokens)
 	c.Basis.Fetching = f.time
 	c.Basis.Replaced = c.Weights < p.named[req.Prompt.Model].Version
-	c.Basis.Alone = parts[len(parts)-1].Tokens
+	c.Basis.UnsharedTokens = parts[len(parts)-1].Tokens
 	if len(parts) > 1 {
 		c.Basis.Shared = sharedKey(prompt.keys)
 	}
