--- a/placer/choice.go
+++ b/placer/choice.go
@@ -58,7 +58,7 @@
 	Work           Work          // Work is that of all hosts at the upstream.
 	PrefillTokens  int           // PrefillTokens is the number of prompt tokens to prefill.
 	UnsharedTokens int           // UnsharedTokens is the number of tokens of the last part, which no other request shares.
-	Moved          int           // Moved is the number of prompt tokens to fetch.
+	FetchTokens    int           // FetchTokens is the number of prompt tokens to fetch.
 	Behind         time.Duration // Behind is the estimated prefill time of the upstream's backlog.
 	Reading        time.Duration // Reading is the estimated prefill time of the missing tokens.
 	Fetching       time.Duration // Fetching is the estimated time of the transfers.
@@ -123,7 +123,7 @@
 		c.Weights = best.upstream.Weights[req.Prompt.Model]
 		p.plan(now, req, best, &c, tk)
 	}
-	tk.fetching = c.Basis.Moved > 0
+	tk.fetching = c.Basis.FetchTokens > 0
 	tk.expected = best.scaled(now, c.Basis.Behind+c.Basis.Reading) + c.Basis.Fetching
 	if best.engine != nil && req.Prompt != nil {
 		running := time.Duration(c.Basis.Work.Requests) * runningPenalty
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -107,7 +107,7 @@
 	if len(parts) > 1 {
 		c.Basis.Shared = sharedKey(prompt.keys)
 	}
-	c.Basis.Moved = req.Prompt.Tokens() - f.prefillTokens - f.cachedTokens
+	c.Basis.FetchTokens = req.Prompt.Tokens() - f.prefillTokens - f.cachedTokens
 	tk.prefillTokens = f.prefillTokens
 	tk.firstPrefilled = f.availableParts
 	tk.idle = c.Basis.Work.Pending < maxIdlePending
