--- a/placer/home_test.go
+++ b/placer/home_test.go
@@ -42,7 +42,7 @@
 				// The stores of testView are in no region.
 				assert.Assert(t, got.Save == nil || c.name == "none")
 				seen[got.Upstream.AvailabilityZone] = true
-				serve(p, start.Add(firstTokenTime+got.Basis.Reading), got)
+				serve(p, start.Add(firstTokenTime+got.Basis.PrefillTime), got)
 			}
 			for _, zone := range c.zones {
 				assert.Assert(t, seen[zone], zone)
--- a/placer/pace_test.go
+++ b/placer/pace_test.go
@@ -21,7 +21,7 @@
 		if verdict != Chosen {
 			break
 		}
-		took := firstTokenTime + c.Basis.Reading
+		took := firstTokenTime + c.Basis.PrefillTime
 		if c.Upstream.ID == "e0" {
 			got++
 			took = time.Duration(slower * float64(took))
