--- a/placer/choice.go
+++ b/placer/choice.go
@@ -61,7 +61,7 @@
 	FetchTokens    int           // FetchTokens is the number of prompt tokens to fetch.
 	BacklogTime    time.Duration // BacklogTime is the estimated prefill time of the upstream's backlog.
 	PrefillTime    time.Duration // PrefillTime is the estimated prefill time of the missing tokens.
-	Fetching       time.Duration // Fetching is the estimated time of the transfers.
+	FetchTime      time.Duration // FetchTime is the estimated time of the transfers.
 	Replaced       bool          // Replaced reports that a newer weight version than the upstream's was named.
 	Stored         int           // Stored is the number of leading parts that stores hold.
 	Saved          int           // Saved is the number of parts to save to stores.
@@ -124,10 +124,10 @@
 		p.plan(now, req, best, &c, tk)
 	}
 	tk.fetching = c.Basis.FetchTokens > 0
-	tk.expected = best.scaled(now, c.Basis.BacklogTime+c.Basis.PrefillTime) + c.Basis.Fetching
+	tk.expected = best.scaled(now, c.Basis.BacklogTime+c.Basis.PrefillTime) + c.Basis.FetchTime
 	if best.engine != nil && req.Prompt != nil {
 		running := time.Duration(c.Basis.Work.Requests) * runningPenalty
-		tk.baseline, tk.fetchTime = firstTokenTime+running+c.Basis.BacklogTime+c.Basis.PrefillTime, c.Basis.Fetching
+		tk.baseline, tk.fetchTime = firstTokenTime+running+c.Basis.BacklogTime+c.Basis.PrefillTime, c.Basis.FetchTime
 	}
 	p.startPrefills(now, tk, tk.firstPrefilled)
 	best.own.add(tk.work)
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -101,7 +101,7 @@
 	c.Basis.PrefillTokens = f.prefillTokens
 	c.Basis.BacklogTime = prefillTime(c.Basis.Work.Pending)
 	c.Basis.PrefillTime = prefillTime(f.prefillTokens)
-	c.Basis.Fetching = f.time
+	c.Basis.FetchTime = f.time
 	c.Basis.Replaced = c.Weights < p.named[req.Prompt.Model].Version
 	c.Basis.UnsharedTokens = parts[len(parts)-1].Tokens
 	if len(parts) > 1 {
