--- a/placer/choice.go
+++ b/placer/choice.go
@@ -63,7 +63,7 @@
 	PrefillTime    time.Duration // PrefillTime is the estimated prefill time of the missing tokens.
 	FetchTime      time.Duration // FetchTime is the estimated time of the transfers.
 	Replaced       bool          // Replaced reports that a newer weight version than the upstream's was named.
-	Stored         int           // Stored is the number of leading parts that stores hold.
+	StoredParts    int           // StoredParts is the number of leading parts that stores hold.
 	Saved          int           // Saved is the number of parts to save to stores.
 	// Shared is the key of the last part that other requests may share; 0 if there is none.
 	Shared   PartKey
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -92,7 +92,7 @@
 	if c.Weights >= p.named[req.Prompt.Model].Version {
 		c.Save = p.planSaves(now, req, prompt.salt)
 	}
-	c.Basis.Stored = len(prompt.stores)
+	c.Basis.StoredParts = len(prompt.stores)
 	for _, address := range c.Save {
 		if address != "" {
 			c.Basis.Saved++
