--- a/conductor/record.go
+++ b/conductor/record.go
@@ -82,6 +82,6 @@
 	e.Str("Upstream", c.Upstream.ID).Dur("Estimate", b.Estimate).Int("Requests", b.Work.Requests).
 		Int("Pending", b.Work.Pending).Int("Memory", b.Work.Memory).Int("Missing", b.PrefillTokens).Int("Alone", b.UnsharedTokens).Int("Moved", b.FetchTokens).
 		Dur("Behind", b.BacklogTime).Dur("Reading", b.PrefillTime).Dur("Fetching", b.FetchTime).Bool("Replaced", b.Replaced).
-		Int("Stored", b.StoredParts).Int("Saved", b.Saved).
+		Int("Stored", b.StoredParts).Int("Saved", b.SavedParts).
 		Uint64("Weights", c.Weights).Hex("Shared", binary.BigEndian.AppendUint64(nil, uint64(b.Shared))).Dur("PeersAge", b.PeersAge)
 }
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -64,7 +64,7 @@
 	FetchTime      time.Duration // FetchTime is the estimated time of the transfers.
 	Replaced       bool          // Replaced reports that a newer weight version than the upstream's was named.
 	StoredParts    int           // StoredParts is the number of leading parts that stores hold.
-	Saved          int           // Saved is the number of parts to save to stores.
+	SavedParts     int           // SavedParts is the number of parts to save to stores.
 	// Shared is the key of the last part that other requests may share; 0 if there is none.
 	Shared   PartKey
 	PeersAge time.Duration // PeersAge is the age of the oldest report of another host that was counted.
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -95,7 +95,7 @@
 	c.Basis.StoredParts = len(prompt.stores)
 	for _, address := range c.Save {
 		if address != "" {
-			c.Basis.Saved++
+			c.Basis.SavedParts++
 		}
 	}
 	c.Basis.PrefillTokens = f.prefillTokens
