--- a/conductor/record.go
+++ b/conductor/record.go
@@ -83,5 +83,5 @@
 		Int("Pending", b.Work.Pending).Int("Memory", b.Work.Memory).Int("Missing", b.PrefillTokens).Int("Alone", b.UnsharedTokens).Int("Moved", b.FetchTokens).
 		Dur("Behind", b.BacklogTime).Dur("Reading", b.PrefillTime).Dur("Fetching", b.FetchTime).Bool("Replaced", b.Replaced).
 		Int("Stored", b.StoredParts).Int("Saved", b.SavedParts).
-		Uint64("Weights", c.Weights).Hex("Shared", binary.BigEndian.AppendUint64(nil, uint64(b.Shared))).Dur("PeersAge", b.PeersAge)
+		Uint64("Weights", c.Weights).Hex("Shared", binary.BigEndian.AppendUint64(nil, uint64(b.SharedKey))).Dur("PeersAge", b.PeersAge)
 }
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -65,9 +65,9 @@
 	Replaced       bool          // Replaced reports that a newer weight version than the upstream's was named.
 	StoredParts    int           // StoredParts is the number of leading parts that stores hold.
 	SavedParts     int           // SavedParts is the number of parts to save to stores.
-	// Shared is the key of the last part that other requests may share; 0 if there is none.
-	Shared   PartKey
-	PeersAge time.Duration // PeersAge is the age of the oldest report of another host that was counted.
+	// SharedKey is the key of the last part that other requests may share; 0 if there is none.
+	SharedKey PartKey
+	PeersAge  time.Duration // PeersAge is the age of the oldest report of another host that was counted.
 }
 
 // Choice is the chosen upstream with its instructions.
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -105,7 +105,7 @@
 	c.Basis.Replaced = c.Weights < p.named[req.Prompt.Model].Version
 	c.Basis.UnsharedTokens = parts[len(parts)-1].Tokens
 	if len(parts) > 1 {
-		c.Basis.Shared = sharedKey(prompt.keys)
+		c.Basis.SharedKey = sharedKey(prompt.keys)
 	}
 	c.Basis.FetchTokens = req.Prompt.Tokens() - f.prefillTokens - f.cachedTokens
 	tk.prefillTokens = f.prefillTokens
