--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -138,14 +138,14 @@
 		d.opts.Chosen(d.request, d.view, &choice)
 	}
 	directions := &Directions{
-		Upstream:  choice.Upstream,
-		Remaining: d.deadline.Sub(d.opts.Timer.Now()),
-		Once:      !d.route.Repeatable(),
-		Rank:      d.rank(),
-		Fetch:     choice.Fetch,
-		Until:     choice.Until,
-		Save:      choice.Save,
-		LastEvent: d.request.LastEvent,
+		Upstream:      choice.Upstream,
+		Remaining:     d.deadline.Sub(d.opts.Timer.Now()),
+		Once:          !d.route.Repeatable(),
+		Rank:          d.rank(),
+		Fetch:         choice.Fetch,
+		FetchDeadline: choice.FetchDeadline,
+		Save:          choice.Save,
+		LastEvent:     d.request.LastEvent,
 	}
 	if s, ok := d.view.Table.Service(choice.Upstream.Service); ok && s.MaxConnections > 0 {
 		directions.Connections = max(1, int(connectionShare*float64(s.MaxConnections)))
--- a/exchanger/request.go
+++ b/exchanger/request.go
@@ -120,11 +120,11 @@
 	Weights     uint64 // Weights is the version of the model weights required; 0 for any.
 	Salt        string // Salt is the cache salt of the prompt.
 	Fetch       []string
-	// Until is the deadline of fetches from stores, in milliseconds of the upstreams' clock;
+	// FetchDeadline is the deadline of fetches from stores, in milliseconds of the upstreams' clock;
 	// 0 if there are none.
-	Until     int64
-	Save      []string
-	LastEvent string
+	FetchDeadline int64
+	Save          []string
+	LastEvent     string
 }
 
 // Sender sends attempts to upstreams.
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -75,12 +75,12 @@
 	Upstream follower.Upstream
 	Weights  uint64   // Weights is the weight version that the upstream is believed to have.
 	Fetch    []string // Fetch has for each part the address to fetch it from, or "".
-	// Until is the deadline of fetches from stores, in milliseconds of the upstreams' clock; 0 if
+	// FetchDeadline is the deadline of fetches from stores, in milliseconds of the upstreams' clock; 0 if
 	// there are none.
-	Until  int64
-	Save   []string // Save has for each part the address of the store to save it to, or "".
-	Basis  Basis
-	Ticket *Ticket
+	FetchDeadline int64
+	Save          []string // Save has for each part the address of the store to save it to, or "".
+	Basis         Basis
+	Ticket        *Ticket
 }
 
 // Verdict is the outcome of a choice.
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -154,7 +154,7 @@
 	p.StoreHeard(start, store, StoreNews{Epoch: 1, Clock: 5_000_000, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
 	got := choose(start)
 	assert.DeepEqual(t, got.Fetch, []string{store, ""})
-	assert.Equal(t, got.Until, 5_000_000+maxFetchTime.Milliseconds())
+	assert.Equal(t, got.FetchDeadline, 5_000_000+maxFetchTime.Milliseconds())
 
 	late := start.Add(p.replacedLifetime() + time.Second)
 	got = choose(late)
--- a/placer/plan.go
+++ b/placer/plan.go
@@ -133,7 +133,7 @@
 		if s.store == nil {
 			continue
 		}
-		c.Until = p.fetchDeadline(req.now)
+		c.FetchDeadline = p.fetchDeadline(req.now)
 		if i >= f.cachedParts {
 			tk.addTransfer(s.store, parts[i].Tokens)
 		}
