--- a/exchanger/waiting.go
+++ b/exchanger/waiting.go
@@ -33,7 +33,7 @@
 		return it
 	}
 	it.Cost = float64(ask.Prompt.Tokens() + ask.Prompt.Output)
-	least := placer.LeastTime(ask.Prompt)
+	least := placer.MinFirstTokenTime(ask.Prompt)
 	it.Latest = e.deadline.Add(-least)
 	if e.route.Objective > 0 {
 		it.Due = e.request.Start.Add(e.route.Objective - least)
--- a/placer/admission.go
+++ b/placer/admission.go
@@ -93,8 +93,8 @@
 	return len(pl.all) == 0
 }
 
-// LeastTime returns the estimated time to the first token at an idle engine that has cached all
+// MinFirstTokenTime returns the estimated time to the first token at an idle engine that has cached all
 // parts of a prompt but the last.
-func LeastTime(prompt *Prompt) time.Duration {
+func MinFirstTokenTime(prompt *Prompt) time.Duration {
 	return firstTokenTime + prefillTime(prompt.Parts[len(prompt.Parts)-1].Tokens)
 }
--- a/placer/progress.go
+++ b/placer/progress.go
@@ -122,7 +122,7 @@
 		return Wait{}
 	}
 	left := running.end.Sub(now)
-	if first := left + LeastTime(req.Prompt); first > req.Due.Sub(now) && first > awaitLimit(parts[next:]) {
+	if first := left + MinFirstTokenTime(req.Prompt); first > req.Due.Sub(now) && first > awaitLimit(parts[next:]) {
 		return Wait{}
 	}
 	return Wait{Done: running.done, Timeout: left + time.Duration(awaitLateShare*float64(running.within)) + awaitGrace}
