--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -22,7 +22,7 @@
 	// KeptAll returns all contents of a store.
 	KeptAll(ctx context.Context, address string) (news placer.StoreNews, next int64, err error)
 	// Free evicts parts from a store.
-	Free(ctx context.Context, f placer.Freed) error
+	Free(ctx context.Context, f placer.UnusedParts) error
 }
 
 const (
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -178,7 +178,7 @@
 		s, ok := ParseSalt(text)
 		return !ok || s.Weights >= 2
 	})
-	assert.DeepEqual(t, freed, []Freed{{Address: "s1:1", Epoch: 1, Parts: []PartName{old}}})
+	assert.DeepEqual(t, freed, []UnusedParts{{Address: "s1:1", Epoch: 1, Parts: []PartName{old}}})
 }
 
 func TestRenewedEnginesArePreferred(t *testing.T) {
--- a/placer/store.go
+++ b/placer/store.go
@@ -203,20 +203,20 @@
 	p.feedCurrentAt = at
 }
 
-// Freed lists what a store holds under salts that are no longer used.
-type Freed struct {
+// UnusedParts lists what a store holds under salts that are no longer used.
+type UnusedParts struct {
 	Address string
 	Epoch   int64
 	Parts   []PartName
 }
 
 // Unused returns what stores hold under salts for which keep returns false.
-func (p *Placer) Unused(keep func(salt string) bool) []Freed {
+func (p *Placer) Unused(keep func(salt string) bool) []UnusedParts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []Freed
+	var out []UnusedParts
 	for address, st := range p.stores {
-		f := Freed{Address: address, Epoch: st.epoch}
+		f := UnusedParts{Address: address, Epoch: st.epoch}
 		for name := range st.held {
 			if !keep(name.Salt) {
 				f.Parts = append(f.Parts, name)
