--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -21,7 +21,7 @@
 		WeightsWithin:    s.Platform.WeightsWithin.Std(),
 		Cold:             placer.ColdLimit{Overage: s.Platform.ColdOverage, Slack: s.Platform.ColdSlack},
 		Urgent:           h.requestReport,
-		Eased:            h.signalCapacity,
+		OnRoom:           h.signalCapacity,
 	})
 }
 
--- a/placer/admission_test.go
+++ b/placer/admission_test.go
@@ -58,10 +58,10 @@
 }
 
 // TestEndOfRequestNotifiesRoom checks that the first token and the end of a request both call
-// Eased.
+// OnRoom.
 func TestEndOfRequestNotifiesRoom(t *testing.T) {
 	eased := 0
-	p := New(Options{Eased: func() { eased++ }})
+	p := New(Options{OnRoom: func() { eased++ }})
 	p.Update(testView(1, 1))
 	var last Choice
 	for {
--- a/placer/doc.go
+++ b/placer/doc.go
@@ -19,7 +19,7 @@
 //	p := placer.New(placer.Options{Seed: 1})
 //	p.Update(view)
 //	choice, verdict := p.Choose(now, &placer.PlacementRequest{Service: "engines", Prompt: prompt})
-//	if verdict == placer.Busy { ... } // retry after Options.Eased is called
+//	if verdict == placer.Busy { ... } // retry after Options.OnRoom is called
 //	choice.Ticket.First(now) // the first token has arrived
 //	choice.Ticket.Done(now, placer.ResultServed)
 package placer
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -28,8 +28,8 @@
 	WeightsWithin time.Duration
 	Cold          ColdLimit // Cold limits what all hosts together send to a cold upstream.
 	Seed          uint64    // Seed is the seed of random sampling; it must differ between hosts.
-	// Eased is called, if set, when an upstream may have more room than before. It must not block.
-	Eased func()
+	// OnRoom is called, if set, when an upstream may have more room than before. It must not block.
+	OnRoom func()
 	// Urgent is called, if set, when other hosts should get a report of a long prompt at once. It
 	// must not block.
 	Urgent func()
--- a/placer/ticket.go
+++ b/placer/ticket.go
@@ -72,10 +72,10 @@
 	tk.placer.notifyRoom()
 }
 
-// notifyRoom calls Options.Eased.
+// notifyRoom calls Options.OnRoom.
 func (p *Placer) notifyRoom() {
-	if p.opts.Eased != nil {
-		p.opts.Eased()
+	if p.opts.OnRoom != nil {
+		p.opts.OnRoom()
 	}
 }
 
