--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -20,7 +20,7 @@
 		Seed:             uint64(h.opts.Timer.Now().UnixNano()),
 		WeightsWithin:    s.Platform.WeightsWithin.Std(),
 		Cold:             placer.ColdLimit{Overage: s.Platform.ColdOverage, Slack: s.Platform.ColdSlack},
-		Urgent:           h.requestReport,
+		OnUrgent:         h.requestReport,
 		OnRoom:           h.signalCapacity,
 	})
 }
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -134,8 +134,8 @@
 	best.recordSent(now)
 	p.changed[best], p.activeTargets[best] = struct{}{}, struct{}{}
 	best.tickets[tk] = struct{}{}
-	if tk.work.Pending+tk.transfer.Pending >= urgentTokens && p.opts.Urgent != nil {
-		p.opts.Urgent()
+	if tk.work.Pending+tk.transfer.Pending >= urgentTokens && p.opts.OnUrgent != nil {
+		p.opts.OnUrgent()
 	}
 	c.Ticket = tk
 	return c, Chosen
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -30,9 +30,9 @@
 	Seed          uint64    // Seed is the seed of random sampling; it must differ between hosts.
 	// OnRoom is called, if set, when an upstream may have more room than before. It must not block.
 	OnRoom func()
-	// Urgent is called, if set, when other hosts should get a report of a long prompt at once. It
+	// OnUrgent is called, if set, when other hosts should get a report of a long prompt at once. It
 	// must not block.
-	Urgent func()
+	OnUrgent func()
 }
 
 // urgentTokens is the prefill from which a request is reported to other hosts at once, so that they
--- a/placer/ticket.go
+++ b/placer/ticket.go
@@ -53,8 +53,8 @@
 	}
 	tk.first = true
 	tk.target.lastActivity = now
-	if tk.work.Pending >= urgentTokens && tk.placer.opts.Urgent != nil {
-		tk.placer.opts.Urgent()
+	if tk.work.Pending >= urgentTokens && tk.placer.opts.OnUrgent != nil {
+		tk.placer.opts.OnUrgent()
 	}
 	tk.target.freedAt = now
 	tk.target.own.Pending -= tk.work.Pending
