--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -48,7 +48,7 @@
 		Timing:  h.opts.Timing,
 
 		FirstStart: s.Platform.FirstStart,
-		Busy:       h.placer.Busy,
+		Busy:       h.placer.InFlight,
 		Kept:       h.placer.Kept,
 		Stores:     h.placer.StoreReports,
 		Quarantine: h.quarantine,
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -207,7 +207,7 @@
 		assert.Assert(t, caller.retry > 0, "a refusal of a request that has not run must have a Retry-After")
 	}
 	for i := range 3 {
-		assert.Equal(t, p.Busy(fmt.Sprint("u", i)), 0, "an ended request is still counted")
+		assert.Equal(t, p.InFlight(fmt.Sprint("u", i)), 0, "an ended request is still counted")
 	}
 }
 
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -94,7 +94,7 @@
 	h.Wake(time.Now())
 	assert.Equal(t, int(h.sender.sent.Load()), 1)
 	h.sender.release <- struct{}{}
-	for h.placer.Busy("e") > 0 {
+	for h.placer.InFlight("e") > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.Wake(time.Now())
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -235,7 +235,7 @@
 	var all []string
 	for _, e := range m.engines {
 		all = append(all, e.id)
-		busy := req.host.placer.Busy(m.instance(e))
+		busy := req.host.placer.InFlight(m.instance(e))
 		if !slices.Contains(req.triedEngines, e.id) && (best == "" || busy < least) {
 			best, least = e.id, busy
 		}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -238,8 +238,8 @@
 	p.assignCells()
 }
 
-// Busy returns the number of requests in flight at an upstream instance, of all hosts.
-func (p *Placer) Busy(instance string) int {
+// InFlight returns the number of requests in flight at an upstream instance, of all hosts.
+func (p *Placer) InFlight(instance string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.targets[instance]; t != nil {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -115,9 +115,9 @@
 	d, _ := b.Choose(start, askFor("y", "own"))
 	assert.Assert(t, c.Upstream.ID != d.Upstream.ID)
 	d.Ticket.Done(start, ResultServed)
-	assert.Equal(t, b.Busy(c.Upstream.ID), 1)
+	assert.Equal(t, b.InFlight(c.Upstream.ID), 1)
 	b.Forget(start.Add(2 * peerReportTTL))
-	assert.Equal(t, b.Busy(c.Upstream.ID), 0)
+	assert.Equal(t, b.InFlight(c.Upstream.ID), 0)
 }
 
 func TestCachedPartsAreFetchedFromEngine(t *testing.T) {
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -27,7 +27,7 @@
 
 	p.Update(changeFirst(v, func(u *follower.Upstream) { u.Born = 200 }))
 	assert.Equal(t, callbacks, 1)
-	assert.Equal(t, p.Busy(p.members["e0"].instance), 0)
+	assert.Equal(t, p.InFlight(p.members["e0"].instance), 0)
 
 	p.Heard(start, "peer", Report{
 		Work:   map[string]Work{former: {Requests: 3, Memory: 50000}},
