--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -24,7 +24,7 @@
 	if !h.serving.Load().All && h.reportTicks%largeFleetReportTicks != 0 {
 		return
 	}
-	h.placer.Forget(now)
+	h.placer.ExpireReports(now)
 	h.reportMu.Lock()
 	defer h.reportMu.Unlock()
 	h.post(WorkReported{Report: h.placer.Report(), Use: h.cpu.cores(now)})
--- a/placer/exchange.go
+++ b/placer/exchange.go
@@ -239,9 +239,9 @@
 	}
 }
 
-// Forget drops the reports of hosts that have not reported lately, and prefills that should have
+// ExpireReports drops the reports of hosts that have not reported lately, and prefills that should have
 // ended.
-func (p *Placer) Forget(now time.Time) {
+func (p *Placer) ExpireReports(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for host, w := range p.peers {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -116,7 +116,7 @@
 	assert.Assert(t, c.Upstream.ID != d.Upstream.ID)
 	d.Ticket.Done(start, ResultServed)
 	assert.Equal(t, b.InFlight(c.Upstream.ID), 1)
-	b.Forget(start.Add(2 * peerReportTTL))
+	b.ExpireReports(start.Add(2 * peerReportTTL))
 	assert.Equal(t, b.InFlight(c.Upstream.ID), 0)
 }
 
