--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -163,7 +163,7 @@
 		h.opts.Pool.Divide(h.shareCount())
 		h.tuneGC(a.Serving)
 	case ApplyReport:
-		h.placer.Heard(h.opts.Timer.Now(), a.From, a.Report)
+		h.placer.ApplyReport(h.opts.Timer.Now(), a.From, a.Report)
 	case Renew:
 		h.spawn(func() { h.renew(a.Command) })
 	case PublishPhases:
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -134,7 +134,7 @@
 		r := h.placer.Report()
 		for j, o := range m.hosts {
 			if i != j {
-				o.placer.Heard(m.clock(), fmt.Sprint("host-", i), r)
+				o.placer.ApplyReport(m.clock(), fmt.Sprint("host-", i), r)
 			}
 		}
 	}
--- a/placer/admission_test.go
+++ b/placer/admission_test.go
@@ -92,11 +92,11 @@
 	for _, p := range placers {
 		for _, h := range hosts {
 			if p.opts.Host != h {
-				p.Heard(start, h, Report{Work: map[string]Work{}, Waiting: 1})
+				p.ApplyReport(start, h, Report{Work: map[string]Work{}, Waiting: 1})
 			}
 		}
-		p.Heard(start, "x", Report{Work: full})
-		p.Heard(start.Add(time.Second), "x", Report{Work: room})
+		p.ApplyReport(start, "x", Report{Work: full})
+		p.ApplyReport(start.Add(time.Second), "x", Report{Work: room})
 	}
 	chosen := 0
 	for at := time.Duration(0); at < 50*time.Millisecond; at += turnInterval {
@@ -110,7 +110,7 @@
 			r := placers[h].Report()
 			for _, p := range placers {
 				if p.opts.Host != h {
-					p.Heard(now, h, r)
+					p.ApplyReport(now, h, r)
 				}
 			}
 		}
@@ -119,8 +119,8 @@
 
 	alone := New(Options{Host: "d"})
 	alone.Update(testView(1, 1))
-	alone.Heard(start, "x", Report{Work: full})
-	alone.Heard(start.Add(time.Second), "x", Report{Work: room})
+	alone.ApplyReport(start, "x", Report{Work: full})
+	alone.ApplyReport(start.Add(time.Second), "x", Report{Work: room})
 	_, verdict := alone.Choose(start.Add(time.Second), askFor("x", "own"))
 	assert.Equal(t, verdict, Chosen)
 }
--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -57,7 +57,7 @@
 			work[id] = Work{Requests: 4, Pending: 20000, Memory: 40000}
 		}
 	}
-	p.Heard(start, "peer", Report{Work: work})
+	p.ApplyReport(start, "peer", Report{Work: work})
 	for i := range 2000 {
 		c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i)))
 		assert.Equal(t, verdict, Chosen)
@@ -81,10 +81,10 @@
 		}
 		return work
 	}
-	p.Heard(start, "peer", Report{Work: full(0)})
+	p.ApplyReport(start, "peer", Report{Work: full(0)})
 	_, verdict := p.Choose(start, askFor("shared", "own"))
 	assert.Equal(t, verdict, Busy)
-	p.Heard(start, "peer", Report{Work: full(5)})
+	p.ApplyReport(start, "peer", Report{Work: full(5)})
 	const tries = 200
 	chosen := 0
 	for i := range tries {
--- a/placer/exchange.go
+++ b/placer/exchange.go
@@ -126,8 +126,8 @@
 	return out
 }
 
-// Heard applies the report of another host.
-func (p *Placer) Heard(now time.Time, host string, r Report) {
+// ApplyReport applies the report of another host.
+func (p *Placer) ApplyReport(now time.Time, host string, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.Work != nil { // a report without work has only placements
--- a/placer/exchange_test.go
+++ b/placer/exchange_test.go
@@ -20,7 +20,7 @@
 func TestChangesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := testPlacer(testView(5, 1)), testPlacer(testView(5, 1))
-		b.Heard(start, "c", Report{Work: map[string]Work{"e2": {Requests: 1, Pending: 10, Memory: 20}}})
+		b.ApplyReport(start, "c", Report{Work: map[string]Work{"e2": {Requests: 1, Pending: 10, Memory: 20}}})
 		var open []*Ticket
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch do := rapid.SampledFrom([]string{"choose", "choose", "first", "done"}).Draw(t, "do"); {
@@ -36,9 +36,9 @@
 				open = open[1:]
 			}
 			if rapid.IntRange(0, 5).Draw(t, "whole") == 0 {
-				b.Heard(start, "a", a.Report())
+				b.ApplyReport(start, "a", a.Report())
 			} else {
-				b.Heard(start, "a", a.Changes())
+				b.ApplyReport(start, "a", a.Changes())
 			}
 			for id, t2 := range a.targets {
 				want := t2.own
--- a/placer/pace_test.go
+++ b/placer/pace_test.go
@@ -40,7 +40,7 @@
 	slow := sendPrompts(a, start, 40, 4)
 	assert.Assert(t, slow <= 4, "%d of 40 went to the slow engine", slow)
 
-	b.Heard(start, "a", a.Report())
+	b.ApplyReport(start, "a", a.Report())
 	assert.Assert(t, b.targetByInstance("e0").slowness.factor(start) > 1.2)
 	slow = sendPrompts(b, start, 40, 4)
 	assert.Assert(t, slow <= 4, "%d of 40 went to the slow engine", slow)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -111,7 +111,7 @@
 func TestPeerWorkCounts(t *testing.T) {
 	a, b := testPlacer(testView(2, 1)), testPlacer(testView(2, 1))
 	c, _ := a.Choose(start, askFor("x", "own"))
-	b.Heard(start, "a", a.Report())
+	b.ApplyReport(start, "a", a.Report())
 	d, _ := b.Choose(start, askFor("y", "own"))
 	assert.Assert(t, c.Upstream.ID != d.Upstream.ID)
 	d.Ticket.Done(start, ResultServed)
@@ -249,7 +249,7 @@
 	name := PartName{Salt: saltOf("")(1), ID: "x"}
 	p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
 	for range 10 {
-		p.Heard(start, "a", Report{Transfers: []Transfer{{Store: "s1:1", Tokens: 12800, Took: 3 * time.Second}}})
+		p.ApplyReport(start, "a", Report{Transfers: []Transfer{{Store: "s1:1", Tokens: 12800, Took: 3 * time.Second}}})
 	}
 	c, _ := p.Choose(start, askFor("x", "own"))
 	assert.Assert(t, c.Fetch == nil)
--- a/placer/progress_test.go
+++ b/placer/progress_test.go
@@ -35,7 +35,7 @@
 	a, b := testPlacer(v), testPlacer(v)
 	first, verdict := a.Choose(start, dueRequest(start, within, "x", "own"))
 	assert.Equal(t, verdict, Chosen, "no prefill is running")
-	b.Heard(start, "a", a.Changes())
+	b.ApplyReport(start, "a", a.Changes())
 	now := start.Add(100 * time.Millisecond)
 	var waits []*PlacementRequest
 	for _, p := range []*Placer{a, b} {
@@ -52,7 +52,7 @@
 		other.Ticket.Done(now, ResultFailed)
 	}
 	first.Ticket.First(now)
-	b.Heard(now, "a", a.Changes())
+	b.ApplyReport(now, "a", a.Changes())
 	for i, p := range []*Placer{a, b} {
 		assert.Assert(t, closed(waits[i].Wait))
 		c, verdict := p.Choose(now, waits[i])
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -29,7 +29,7 @@
 	assert.Equal(t, callbacks, 1)
 	assert.Equal(t, p.InFlight(p.members["e0"].instance), 0)
 
-	p.Heard(start, "peer", Report{
+	p.ApplyReport(start, "peer", Report{
 		Work:   map[string]Work{former: {Requests: 3, Memory: 50000}},
 		Placed: []Placement{{Upstream: former, Key: keysOf(nil, saltOf("")(1), []Part{{ID: "shared"}})[0], Tokens: 12800}},
 	})
