--- a/conductor/node.go
+++ b/conductor/node.go
@@ -30,7 +30,7 @@
 	FirstStart bool
 	Renewer    renewer.Options
 	Busy       func(upstream string) int   // Busy returns the work in flight at an upstream.
-	Kept       func() []placer.Placement   // Kept returns what engines may cache, for hosts that start.
+	Placements func() []placer.Placement   // Placements returns what engines may cache, for hosts that start.
 	Stores     func() []placer.StoreReport // Stores returns what is known of KV cache stores.
 	// Quarantine tracks the requests under which upstreams have ended; it is shared with the
 	// request path.
--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -49,7 +49,7 @@
 
 		FirstStart: s.Platform.FirstStart,
 		Busy:       h.placer.InFlight,
-		Kept:       h.placer.Kept,
+		Placements: h.placer.Placements,
 		Stores:     h.placer.StoreReports,
 		Quarantine: h.quarantine,
 		Renewer: renewer.Options{
--- a/placer/exchange.go
+++ b/placer/exchange.go
@@ -113,8 +113,8 @@
 	return p.opts.Waiting()
 }
 
-// Kept returns all parts that engines are believed to cache, for a host that has just started.
-func (p *Placer) Kept() []Placement {
+// Placements returns all parts that engines are believed to cache, for a host that has just started.
+func (p *Placer) Placements() []Placement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Placement
