--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -167,7 +167,7 @@
 	case Renew:
 		h.spawn(func() { h.renew(a.Command) })
 	case PublishPhases:
-		h.placer.Renewing(a.Engines)
+		h.placer.SetPhases(a.Engines)
 	case PublishCell:
 		h.placer.SetCell(a.Own, a.Cells, a.Direct)
 	case LogEvent:
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -248,8 +248,8 @@
 	return 0
 }
 
-// Renewing sets the engines that load weights now or will soon.
-func (p *Placer) Renewing(phases map[string]renewer.Phase) {
+// SetPhases sets the engines that load weights now or will soon.
+func (p *Placer) SetPhases(phases map[string]renewer.Phase) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.phases {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -186,7 +186,7 @@
 	req := askFor("x", "own")
 	c, _ := p.Choose(start, req)
 	assert.Equal(t, c.Upstream.ID, "e1")
-	p.Renewing(map[string]renewer.Phase{"e1": renewer.PhaseNext})
+	p.SetPhases(map[string]renewer.Phase{"e1": renewer.PhaseNext})
 	p.targetByInstance("e1").own = Work{}
 	c, _ = p.Choose(start, req)
 	assert.Assert(t, c.Upstream.ID != "e1")
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -117,7 +117,7 @@
 	} {
 		t.Run(fmt.Sprint(c.phase, " busy ", c.busy), func(t *testing.T) {
 			p := testPlacer(testView(2, 1))
-			p.Renewing(map[string]renewer.Phase{"e0": c.phase})
+			p.SetPhases(map[string]renewer.Phase{"e0": c.phase})
 			if c.busy {
 				p.targetByInstance("e1").peers = Work{Requests: 4, Memory: 59000}
 			}
