--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -18,7 +18,7 @@
 func (h *Host) report(now time.Time) {
 	h.placer.Watch(now)
 	if now.Sub(h.started) > startupTime {
-		h.placer.SetSharers(h.senders.update(now, *h.hosts.Load(), *h.serving.Load()))
+		h.placer.SetColdHosts(h.senders.update(now, *h.hosts.Load(), *h.serving.Load()))
 	}
 	h.reportTicks++
 	if !h.serving.Load().All && h.reportTicks%largeFleetReportTicks != 0 {
--- a/placer/cold.go
+++ b/placer/cold.go
@@ -45,10 +45,10 @@
 	version int      // version is incremented by each change.
 }
 
-// SetSharers sets the hosts that may send to cold upstreams now or could until recently, since a
+// SetColdHosts sets the hosts that may send to cold upstreams now or could until recently, since a
 // partitioned host still sends. A host that is not among them, or does not know them yet, sends
 // nothing to cold upstreams.
-func (p *Placer) SetSharers(names []string) {
+func (p *Placer) SetColdHosts(names []string) {
 	hashes := make([]uint64, len(names))
 	for i, name := range names {
 		hashes[i] = xxhash.Sum64String(name)
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -72,7 +72,7 @@
 			for _, g := range c.Groups {
 				for _, name := range hostNames(g.Hosts) {
 					p := coldPlacer(name, v)
-					p.SetSharers(hostNames(g.Count))
+					p.SetColdHosts(hostNames(g.Count))
 					placers = append(placers, p)
 				}
 			}
@@ -122,7 +122,7 @@
 	fresh := func() (*follower.View, *Placer) {
 		v := coldView(1)
 		p := coldPlacer("host0", v)
-		p.SetSharers([]string{"host0"})
+		p.SetColdHosts([]string{"host0"})
 		return v, p
 	}
 	part := ColdLimit{Overage: 1.5, Slack: 5}.perSecond(20)
@@ -157,7 +157,7 @@
 func TestWarmEnginesArePreferred(t *testing.T) {
 	v := changeFirst(coldView(2), func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Hour) })
 	p := coldPlacer("host0", v)
-	p.SetSharers([]string{"host0"})
+	p.SetColdHosts([]string{"host0"})
 	first, _ := p.Choose(start, askFor("x", "own"))
 	assert.Equal(t, first.Upstream.ID, "e1")
 	second, _ := p.Choose(start, askFor("y", "own"))
