--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -18,9 +18,9 @@
 	// Kept returns a store's changes since an earlier answer; lost reports that some of them are no
 	// longer available.
 	Kept(ctx context.Context, address string, since int64, wait time.Duration) (
-		news placer.StoreNews, next int64, lost bool, err error)
+		news placer.StoreChanges, next int64, lost bool, err error)
 	// KeptAll returns all contents of a store.
-	KeptAll(ctx context.Context, address string) (news placer.StoreNews, next int64, err error)
+	KeptAll(ctx context.Context, address string) (news placer.StoreChanges, next int64, err error)
 	// Free evicts parts from a store.
 	Free(ctx context.Context, f placer.UnusedParts) error
 }
@@ -84,7 +84,7 @@
 		delay = h.opts.Timing.RetryDelay
 		since, epoch = next, news.Epoch
 		h.placer.StoreHeard(h.opts.Timer.Now(), address, news)
-		h.post(StoreReported{Report: placer.StoreReport{Address: address, News: news}})
+		h.post(StoreReported{Report: placer.StoreReport{Address: address, Changes: news}})
 		if len(news.Changes) < storePage {
 			pause(ctx, storeBatchDelay)
 		}
@@ -92,7 +92,7 @@
 }
 
 // readStore returns a store's changes, or all its contents if it has restarted or changes were lost.
-func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreNews, int64, error) {
+func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreChanges, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeWait+storeTimeout)
 	defer cancel()
 	news, next, lost, err := h.opts.Stores.Kept(ctx, address, since, storeWait)
--- a/placer/store.go
+++ b/placer/store.go
@@ -76,8 +76,8 @@
 	Dropped bool     `cbor:"3,keyasint,omitempty"`
 }
 
-// StoreNews is a store's list of changes.
-type StoreNews struct {
+// StoreChanges is a store's list of changes.
+type StoreChanges struct {
 	Epoch int64 `cbor:"1,keyasint"` // Epoch changes when the store restarts.
 	// Clock is the time on the upstreams' clock, in milliseconds.
 	Clock int64 `cbor:"2,keyasint"`
@@ -91,9 +91,9 @@
 
 // StoreReport is what a host sends to the others about a store.
 type StoreReport struct {
-	Address string    `cbor:"1,keyasint"`
-	Lost    bool      `cbor:"2,keyasint,omitempty"` // Lost reports that the store does not answer.
-	News    StoreNews `cbor:"3,keyasint,omitempty"`
+	Address string       `cbor:"1,keyasint"`
+	Lost    bool         `cbor:"2,keyasint,omitempty"` // Lost reports that the store does not answer.
+	Changes StoreChanges `cbor:"3,keyasint,omitempty"`
 }
 
 // StoreTold applies another host's report. It returns false if this host lacks earlier changes and
@@ -105,12 +105,12 @@
 	}
 	p.mu.Lock()
 	st := p.stores[r.Address]
-	gap := st != nil && !r.News.Full && (st.epoch == r.News.Epoch && r.News.From > st.next || st.epoch != r.News.Epoch && r.News.From > 0)
+	gap := st != nil && !r.Changes.Full && (st.epoch == r.Changes.Epoch && r.Changes.From > st.next || st.epoch != r.Changes.Epoch && r.Changes.From > 0)
 	p.mu.Unlock()
 	if gap {
 		return false
 	}
-	p.StoreHeard(now, r.Address, r.News)
+	p.StoreHeard(now, r.Address, r.Changes)
 	return true
 }
 
@@ -123,9 +123,9 @@
 		if !st.up {
 			continue
 		}
-		r := StoreReport{Address: address, News: StoreNews{Epoch: st.epoch, Full: true, Next: st.next, Clock: p.clock.millis}}
+		r := StoreReport{Address: address, Changes: StoreChanges{Epoch: st.epoch, Full: true, Next: st.next, Clock: p.clock.millis}}
 		for name, tokens := range st.held {
-			r.News.Changes = append(r.News.Changes, StoreChange{Part: name, Tokens: tokens})
+			r.Changes.Changes = append(r.Changes.Changes, StoreChange{Part: name, Tokens: tokens})
 		}
 		out = append(out, r)
 	}
@@ -133,7 +133,7 @@
 }
 
 // StoreHeard applies a store's own list of changes.
-func (p *Placer) StoreHeard(now time.Time, address string, n StoreNews) {
+func (p *Placer) StoreHeard(now time.Time, address string, n StoreChanges) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	st := p.stores[address]
