--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -76,7 +76,7 @@
 		}
 		if err != nil {
 			h.placer.StoreLost(address)
-			h.post(StoreReported{Report: placer.StoreReport{Address: address, Lost: true}})
+			h.post(StoreReported{Report: placer.StoreReport{Address: address, Down: true}})
 			pause(ctx, delay)
 			delay = min(2*delay, maxRetryDelay)
 			continue
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -275,7 +275,7 @@
 	assert.Equal(t, len(p.stores["s1:1"].held), 2)
 	assert.Assert(t, p.StoreTold(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 1, From: 2, Next: 2}}))
 	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 9, From: 5, Next: 6}}), "the store has restarted")
-	p.StoreTold(start, StoreReport{Address: "s1:1", Lost: true})
+	p.StoreTold(start, StoreReport{Address: "s1:1", Down: true})
 	assert.Assert(t, !p.stores["s1:1"].up)
 }
 
--- a/placer/store.go
+++ b/placer/store.go
@@ -92,14 +92,14 @@
 // StoreReport is what a host sends to the others about a store.
 type StoreReport struct {
 	Address string       `cbor:"1,keyasint"`
-	Lost    bool         `cbor:"2,keyasint,omitempty"` // Lost reports that the store does not answer.
+	Down    bool         `cbor:"2,keyasint,omitempty"` // Down reports that the store does not answer.
 	Changes StoreChanges `cbor:"3,keyasint,omitempty"`
 }
 
 // StoreTold applies another host's report. It returns false if this host lacks earlier changes and
 // must ask for a full report.
 func (p *Placer) StoreTold(now time.Time, r StoreReport) bool {
-	if r.Lost {
+	if r.Down {
 		p.StoreLost(r.Address)
 		return true
 	}
