--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -83,7 +83,7 @@
 		}
 		delay = h.opts.Timing.RetryDelay
 		since, epoch = next, news.Epoch
-		h.placer.StoreHeard(h.opts.Timer.Now(), address, news)
+		h.placer.ApplyStoreChanges(h.opts.Timer.Now(), address, news)
 		h.post(StoreReported{Report: placer.StoreReport{Address: address, Changes: news}})
 		if len(news.Changes) < storePage {
 			pause(ctx, storeBatchDelay)
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -74,7 +74,7 @@
 	p.Update(v)
 	p.Trust(start)
 	for _, a := range []string{"s1:1", "s2:1"} {
-		p.StoreHeard(start, a, StoreChanges{Epoch: 1, Clock: 5_000_000})
+		p.ApplyStoreChanges(start, a, StoreChanges{Epoch: 1, Clock: 5_000_000})
 	}
 	return p
 }
@@ -151,7 +151,7 @@
 	assert.Assert(t, again.Fetch == nil, "a part that the store has not reported is not fetched")
 
 	name := PartName{Salt: saltOf("")(1), ID: "x"}
-	p.StoreHeard(start, store, StoreChanges{Epoch: 1, Clock: 5_000_000, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
+	p.ApplyStoreChanges(start, store, StoreChanges{Epoch: 1, Clock: 5_000_000, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
 	got := choose(start)
 	assert.DeepEqual(t, got.Fetch, []string{store, ""})
 	assert.Equal(t, got.FetchDeadline, 5_000_000+maxFetchTime.Milliseconds())
@@ -160,7 +160,7 @@
 	got = choose(late)
 	assert.Assert(t, got.Fetch == nil, "a host without a current feed fetches from no store")
 
-	p.StoreHeard(start, store, StoreChanges{Epoch: 2, Clock: 5_000_000}) // the store has restarted
+	p.ApplyStoreChanges(start, store, StoreChanges{Epoch: 2, Clock: 5_000_000}) // the store has restarted
 	got = choose(start)
 	assert.Assert(t, got.Fetch == nil)
 }
@@ -170,7 +170,7 @@
 func TestReplacedWeights(t *testing.T) {
 	p := testPlacer(testView(1, 2, 1))
 	old := PartName{Salt: saltOf("")(1), ID: "x"}
-	p.StoreHeard(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
+	p.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
 	c, _ := p.Choose(start, askFor("x", "own"))
 	assert.Equal(t, c.Weights, uint64(1))
 	assert.Assert(t, c.Fetch == nil && c.Save == nil)
@@ -247,7 +247,7 @@
 func TestSlowStoreIsAvoided(t *testing.T) {
 	p := testPlacer(testView(2, 1))
 	name := PartName{Salt: saltOf("")(1), ID: "x"}
-	p.StoreHeard(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
+	p.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
 	for range 10 {
 		p.ApplyReport(start, "a", Report{Transfers: []Transfer{{Store: "s1:1", Tokens: 12800, Took: 3 * time.Second}}})
 	}
@@ -265,9 +265,9 @@
 func TestGapsInStoreChanges(t *testing.T) {
 	part := func(id string) StoreChange { return StoreChange{Part: PartName{Salt: "s", ID: id}, Tokens: 10} }
 	asker, p := testPlacer(testView(1, 1)), testPlacer(testView(1, 1))
-	asker.StoreHeard(start, "s1:1", StoreChanges{Epoch: 1, From: 0, Next: 1, Changes: []StoreChange{part("a")}})
+	asker.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, From: 0, Next: 1, Changes: []StoreChange{part("a")}})
 	later := StoreChanges{Epoch: 1, From: 1, Next: 2, Changes: []StoreChange{part("b")}}
-	asker.StoreHeard(start, "s1:1", later)
+	asker.ApplyStoreChanges(start, "s1:1", later)
 	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", Changes: later}))
 	for _, r := range asker.StoreReports() {
 		assert.Assert(t, p.StoreTold(start, r))
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -53,7 +53,7 @@
 				}
 				v.Named = state.View().Named
 				p := testPlacer(v)
-				p.StoreHeard(now, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
+				p.ApplyStoreChanges(now, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
 				p.Trust(start.Add(c.known))
 				if at >= c.learns {
 					p.Trust(now)
--- a/placer/saver_test.go
+++ b/placer/saver_test.go
@@ -27,7 +27,7 @@
 	} {
 		p := testPlacer(viewOfStores(70_000, 30_000))
 		for address, st := range p.stores {
-			p.StoreHeard(start, address, StoreChanges{Epoch: 1, Full: true, Next: 1, Clock: 1})
+			p.ApplyStoreChanges(start, address, StoreChanges{Epoch: 1, Full: true, Next: 1, Clock: 1})
 			assert.Assert(t, st.up)
 		}
 		p.stores["fast:1"].used = int(c.used * 200_000)
@@ -64,7 +64,7 @@
 		var addresses [2]string
 		for j, p := range []*Placer{a, b} {
 			for address := range p.stores {
-				p.StoreHeard(start, address, StoreChanges{Epoch: 1, Next: 1, Clock: 1})
+				p.ApplyStoreChanges(start, address, StoreChanges{Epoch: 1, Next: 1, Clock: 1})
 			}
 			addresses[j] = p.saveTarget(start, &PlacementRequest{}, name, 100).service.Address
 		}
--- a/placer/sources_test.go
+++ b/placer/sources_test.go
@@ -45,7 +45,7 @@
 				p.targetByInstance("e1").cache.put(start, keyOf(name(id)), tokens[id], 60000)
 			}
 			for _, id := range c.Store {
-				p.StoreHeard(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name(id), Tokens: tokens[id]}}})
+				p.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name(id), Tokens: tokens[id]}}})
 			}
 			p.stores["s1:1"].own.Pending = c.Waiting
 			got, verdict := p.Choose(start, &PlacementRequest{
--- a/placer/store.go
+++ b/placer/store.go
@@ -110,7 +110,7 @@
 	if gap {
 		return false
 	}
-	p.StoreHeard(now, r.Address, r.Changes)
+	p.ApplyStoreChanges(now, r.Address, r.Changes)
 	return true
 }
 
@@ -132,8 +132,8 @@
 	return out
 }
 
-// StoreHeard applies a store's own list of changes.
-func (p *Placer) StoreHeard(now time.Time, address string, n StoreChanges) {
+// ApplyStoreChanges applies a store's own list of changes.
+func (p *Placer) ApplyStoreChanges(now time.Time, address string, n StoreChanges) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	st := p.stores[address]
