--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -133,7 +133,7 @@
 	case Spread:
 		h.messenger.SendAll(a.To, a.Message)
 	case ApplyStoreReport:
-		if !h.placer.StoreTold(h.opts.Timer.Now(), a.Report) {
+		if !h.placer.ApplyStoreReport(h.opts.Timer.Now(), a.Report) {
 			h.spawn(func() { h.post(StoreGap{From: a.From}) })
 		}
 	case Read:
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -268,14 +268,14 @@
 	asker.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, From: 0, Next: 1, Changes: []StoreChange{part("a")}})
 	later := StoreChanges{Epoch: 1, From: 1, Next: 2, Changes: []StoreChange{part("b")}}
 	asker.ApplyStoreChanges(start, "s1:1", later)
-	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", Changes: later}))
+	assert.Assert(t, !p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Changes: later}))
 	for _, r := range asker.StoreReports() {
-		assert.Assert(t, p.StoreTold(start, r))
+		assert.Assert(t, p.ApplyStoreReport(start, r))
 	}
 	assert.Equal(t, len(p.stores["s1:1"].held), 2)
-	assert.Assert(t, p.StoreTold(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 1, From: 2, Next: 2}}))
-	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 9, From: 5, Next: 6}}), "the store has restarted")
-	p.StoreTold(start, StoreReport{Address: "s1:1", Down: true})
+	assert.Assert(t, p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 1, From: 2, Next: 2}}))
+	assert.Assert(t, !p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 9, From: 5, Next: 6}}), "the store has restarted")
+	p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Down: true})
 	assert.Assert(t, !p.stores["s1:1"].up)
 }
 
--- a/placer/store.go
+++ b/placer/store.go
@@ -96,9 +96,9 @@
 	Changes StoreChanges `cbor:"3,keyasint,omitempty"`
 }
 
-// StoreTold applies another host's report. It returns false if this host lacks earlier changes and
+// ApplyStoreReport applies another host's report. It returns false if this host lacks earlier changes and
 // must ask for a full report.
-func (p *Placer) StoreTold(now time.Time, r StoreReport) bool {
+func (p *Placer) ApplyStoreReport(now time.Time, r StoreReport) bool {
 	if r.Down {
 		p.StoreLost(r.Address)
 		return true
