--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -151,7 +151,7 @@
 		h.placer.Update(a.View)
 		h.watchStores(a.View)
 	case FeedCurrent:
-		h.placer.Trust(a.At)
+		h.placer.SetFeedCurrent(a.At)
 		h.counters.feedCurrent(follower.FeedOperator, a.At)
 	case PublishHosts:
 		h.evictsStores.Store(tracker.Place(a.Serving.Hosts(), h.opts.Settings.Host, "keeper") == 0)
--- a/placer/home_test.go
+++ b/placer/home_test.go
@@ -28,7 +28,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := New(Options{Regions: map[string]string{"east": "r-east", "west": "r-west"}})
 			p.Update(v)
-			p.Trust(start)
+			p.SetFeedCurrent(start)
 			p.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, Clock: 5_000_000})
 			seen := make(map[string]bool)
 			for i := range 40 {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -72,7 +72,7 @@
 func testPlacer(v *follower.View) *Placer {
 	p := New(Options{})
 	p.Update(v)
-	p.Trust(start)
+	p.SetFeedCurrent(start)
 	for _, a := range []string{"s1:1", "s2:1"} {
 		p.ApplyStoreChanges(start, a, StoreChanges{Epoch: 1, Clock: 5_000_000})
 	}
@@ -255,7 +255,7 @@
 	assert.Assert(t, c.Fetch == nil)
 	c.Ticket.Done(start, ResultCallerGone)
 	later := start.Add(time.Second)
-	p.Trust(later.Add(30 * time.Second))
+	p.SetFeedCurrent(later.Add(30 * time.Second))
 	c, _ = p.Choose(later.Add(30*time.Second), askFor("x", "own"))
 	assert.Assert(t, c.Fetch != nil, "a slow store is tried again later")
 }
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -54,9 +54,9 @@
 				v.Named = state.View().Named
 				p := testPlacer(v)
 				p.ApplyStoreChanges(now, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
-				p.Trust(start.Add(c.known))
+				p.SetFeedCurrent(start.Add(c.known))
 				if at >= c.learns {
-					p.Trust(now)
+					p.SetFeedCurrent(now)
 				}
 				got, verdict := p.Choose(now, askFor("x", "own"))
 				assert.Equal(t, verdict, Chosen)
--- a/placer/store.go
+++ b/placer/store.go
@@ -196,8 +196,8 @@
 	return p.clock.millis + now.Sub(p.clock.at).Milliseconds() + maxFetchTime.Milliseconds()
 }
 
-// Trust records that the operators' feed was current at a time.
-func (p *Placer) Trust(at time.Time) {
+// SetFeedCurrent records that the operators' feed was current at a time.
+func (p *Placer) SetFeedCurrent(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.feedCurrentAt = at
