--- a/exchanger/relay.go
+++ b/exchanger/relay.go
@@ -31,7 +31,7 @@
 	for {
 		n, err := answer.Read(buf)
 		if n > 0 {
-			ticket.Sign(d.opts.Timer.Now())
+			ticket.RecordActivity(d.opts.Timer.Now())
 			pending = append(pending, buf[:n]...)
 			rest, fail := d.forwardEvents(answer, pending, ticket)
 			if fail != nil {
--- a/placer/silence.go
+++ b/placer/silence.go
@@ -130,8 +130,8 @@
 	tk.onSilent = f
 }
 
-// Sign records that bytes of an answer have arrived.
-func (tk *Ticket) Sign(now time.Time) {
+// RecordActivity records that bytes of an answer have arrived.
+func (tk *Ticket) RecordActivity(now time.Time) {
 	tk.placer.mu.Lock()
 	defer tk.placer.mu.Unlock()
 	tk.target.lastActivity = now
--- a/placer/silence_test.go
+++ b/placer/silence_test.go
@@ -60,7 +60,7 @@
 		case "first":
 			sent[id].First(now)
 		case "sign":
-			sent[id].Sign(now)
+			sent[id].RecordActivity(now)
 		case "done":
 			sent[id].Done(now, ResultServed)
 		}
