--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -145,26 +145,26 @@
 		Stores:     func() []placer.StoreReport { return nil },
 	})
 	if c.isolated {
-		s.inbox = append(s.inbox, HostsFound{Hosts: []tracker.HostRecord{self}})
+		s.inbox = append(s.inbox, AnnouncementsRead{Hosts: []tracker.HostRecord{self}})
 		return
 	}
-	s.inbox = append(s.inbox, HostsFound{Hosts: c.announced()})
+	s.inbox = append(s.inbox, AnnouncementsRead{Hosts: c.announced()})
 	for _, o := range c.nodes {
 		if o != s && o.node != nil {
-			o.inbox = append(o.inbox, HostsFound{Hosts: []tracker.HostRecord{self}})
+			o.inbox = append(o.inbox, AnnouncementsRead{Hosts: []tracker.HostRecord{self}})
 		}
 	}
 }
 
 // found returns what a starting host reads of the announcements.
-func (c *cluster) found(s *simNode) HostsFound {
+func (c *cluster) found(s *simNode) AnnouncementsRead {
 	switch {
 	case s.access != accessOK:
-		return HostsFound{Err: errors.New("refused")}
+		return AnnouncementsRead{Err: errors.New("refused")}
 	case c.isolated:
-		return HostsFound{Hosts: []tracker.HostRecord{s.node.opts.Self}}
+		return AnnouncementsRead{Hosts: []tracker.HostRecord{s.node.opts.Self}}
 	}
-	return HostsFound{Hosts: c.announced()}
+	return AnnouncementsRead{Hosts: c.announced()}
 }
 
 // announced returns all announcements, including those of hosts that are down.
@@ -288,7 +288,7 @@
 				c.listingReads++
 			}
 			s.waiting = append(s.waiting, &simRead{read: a, start: c.now, deadline: c.now.Add(a.Wait), silent: s.access == accessSilent})
-		case Find:
+		case ReadAnnouncements:
 			s.inbox = append(s.inbox, c.found(s))
 		case Seek:
 			c.searches++
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -42,8 +42,8 @@
 	Address string // Address is where other hosts connect to it.
 }
 
-// HostsFound is the result of a Find: a page of announcements of hosts, which may have ended.
-type HostsFound struct {
+// AnnouncementsRead is the result of ReadAnnouncements: a page of announcements of hosts, which may have ended.
+type AnnouncementsRead struct {
 	Hosts []tracker.HostRecord
 	Next  string // Next is where the next page begins; empty if this is the last.
 	Err   error
@@ -100,7 +100,7 @@
 func (FeedRead) event()           {}
 func (PeerMessage) event()        {}
 func (PeerUp) event()             {}
-func (HostsFound) event()         {}
+func (AnnouncementsRead) event()  {}
 func (Announced) event()          {}
 func (HostsSought) event()        {}
 func (WorkReported) event()       {}
@@ -142,8 +142,8 @@
 	Wait time.Duration // Wait is how long the store may wait for a record.
 }
 
-// Find reads the page of announcements that begins after a name.
-type Find struct{ After string }
+// ReadAnnouncements reads the page of announcements that begins after a name.
+type ReadAnnouncements struct{ After string }
 
 // Seek reads all announcements of hosts.
 type Seek struct{}
@@ -216,19 +216,19 @@
 	LogListingApplied  LogKind = logger.ListingApplied
 )
 
-func (Send) action()             {}
-func (Spread) action()           {}
-func (ApplyStoreReport) action() {}
-func (Read) action()             {}
-func (Find) action()             {}
-func (Seek) action()             {}
-func (Announce) action()         {}
-func (Retract) action()          {}
-func (PublishView) action()      {}
-func (PublishHosts) action()     {}
-func (ApplyReport) action()      {}
-func (Renew) action()            {}
-func (FeedCurrent) action()      {}
-func (PublishPhases) action()    {}
-func (PublishCell) action()      {}
-func (LogEvent) action()         {}
+func (Send) action()              {}
+func (Spread) action()            {}
+func (ApplyStoreReport) action()  {}
+func (Read) action()              {}
+func (ReadAnnouncements) action() {}
+func (Seek) action()              {}
+func (Announce) action()          {}
+func (Retract) action()           {}
+func (PublishView) action()       {}
+func (PublishHosts) action()      {}
+func (ApplyReport) action()       {}
+func (Renew) action()             {}
+func (FeedCurrent) action()       {}
+func (PublishPhases) action()     {}
+func (PublishCell) action()       {}
+func (LogEvent) action()          {}
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -138,7 +138,7 @@
 		}
 	case Read:
 		h.spawn(func() { h.read(a) })
-	case Find:
+	case ReadAnnouncements:
 		h.spawn(func() { h.find(a.After) })
 	case Seek:
 		h.spawn(h.seek)
--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -21,7 +21,7 @@
 	}
 	switch n.introducer.Next(now) {
 	case introducer.CallFind:
-		n.emit(Find{After: n.introducer.After()})
+		n.emit(ReadAnnouncements{After: n.introducer.After()})
 	case introducer.CallAnnounce:
 		n.emit(Announce{})
 	case introducer.CallNone:
@@ -31,8 +31,8 @@
 	}
 }
 
-// handleHostsFound applies a page of announcements.
-func (n *Node) handleHostsFound(now time.Time, ev HostsFound) {
+// handleAnnouncementsRead applies a page of announcements.
+func (n *Node) handleAnnouncementsRead(now time.Time, ev AnnouncementsRead) {
 	n.introducer.Found(now, introducer.Page{Hosts: ev.Hosts, Next: ev.Next}, ev.Err)
 	if ev.Err != nil {
 		return
@@ -57,7 +57,7 @@
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.HostsUnread)
 	}
-	h.post(HostsFound{Hosts: h.decodeRecords(page.Cards), Next: page.Next, Err: err})
+	h.post(AnnouncementsRead{Hosts: h.decodeRecords(page.Cards), Next: page.Next, Err: err})
 }
 
 // announce writes this host's announcement.
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -138,8 +138,8 @@
 	case PeerUp:
 		n.hostsDirty = n.hosts.Heard(now, ev.Host) || n.hostsDirty
 		n.greet(now, ev.Host, ev.Address)
-	case HostsFound:
-		n.handleHostsFound(now, ev)
+	case AnnouncementsRead:
+		n.handleAnnouncementsRead(now, ev)
 	case Announced:
 		n.introducer.Announced(now, ev.Err)
 	case HostsSought:
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -315,7 +315,7 @@
 		}
 	case conductor.Read:
 		m.read(h, a)
-	case conductor.Find:
+	case conductor.ReadAnnouncements:
 		m.reply(h, 1, func() conductor.Event { return m.announcementPage(a.After) })
 	case conductor.Seek:
 		m.reply(h, 1+len(m.announcements)/fleetPageRecords, func() conductor.Event {
--- a/experimenter/fleetstore.go
+++ b/experimenter/fleetstore.go
@@ -21,13 +21,13 @@
 }
 
 // announcementPage returns the page of announcements after a host name.
-func (m *fleetModel) announcementPage(after string) conductor.HostsFound {
+func (m *fleetModel) announcementPage(after string) conductor.AnnouncementsRead {
 	from, found := slices.BinarySearch(m.announced, after)
 	if found {
 		from++
 	}
 	to := min(from+fleetPageRecords, len(m.announced))
-	var ev conductor.HostsFound
+	var ev conductor.AnnouncementsRead
 	for _, name := range m.announced[from:to] {
 		ev.Hosts = append(ev.Hosts, m.announcements[name])
 	}
