--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -290,9 +290,9 @@
 			s.waiting = append(s.waiting, &simRead{read: a, start: c.now, deadline: c.now.Add(a.Wait), silent: s.access == accessSilent})
 		case ReadAnnouncements:
 			s.inbox = append(s.inbox, c.found(s))
-		case Seek:
+		case ReadAllAnnouncements:
 			c.searches++
-			s.inbox = append(s.inbox, HostsSought{Hosts: c.announced(), Whole: true, End: c.announcementsEnd})
+			s.inbox = append(s.inbox, AllAnnouncementsRead{Hosts: c.announced(), Whole: true, End: c.announcementsEnd})
 		case Announce:
 			c.announce(s.node.opts.Self)
 			s.inbox = append(s.inbox, Announced{})
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -52,8 +52,8 @@
 // Announced is the result of an Announce.
 type Announced struct{ Err error }
 
-// HostsSought is the result of a Seek. Some announcements may be long out of date.
-type HostsSought struct {
+// AllAnnouncementsRead is the result of ReadAllAnnouncements. Some announcements may be long out of date.
+type AllAnnouncementsRead struct {
 	Hosts []tracker.HostRecord
 	Whole bool  // Whole reports whether all announcements were read.
 	End   int64 // End is the offset after the newest announcement when the first page was read.
@@ -96,21 +96,21 @@
 // DrainStarted reports that this host is about to end.
 type DrainStarted struct{}
 
-func (Tick) event()               {}
-func (FeedRead) event()           {}
-func (PeerMessage) event()        {}
-func (PeerUp) event()             {}
-func (AnnouncementsRead) event()  {}
-func (Announced) event()          {}
-func (HostsSought) event()        {}
-func (WorkReported) event()       {}
-func (RenewalEnd) event()         {}
-func (StoreReported) event()      {}
-func (StoreGap) event()           {}
-func (NamingsRestored) event()    {}
-func (QuarantineChanged) event()  {}
-func (QuarantineRestored) event() {}
-func (DrainStarted) event()       {}
+func (Tick) event()                 {}
+func (FeedRead) event()             {}
+func (PeerMessage) event()          {}
+func (PeerUp) event()               {}
+func (AnnouncementsRead) event()    {}
+func (Announced) event()            {}
+func (AllAnnouncementsRead) event() {}
+func (WorkReported) event()         {}
+func (RenewalEnd) event()           {}
+func (StoreReported) event()        {}
+func (StoreGap) event()             {}
+func (NamingsRestored) event()      {}
+func (QuarantineChanged) event()    {}
+func (QuarantineRestored) event()   {}
+func (DrainStarted) event()         {}
 
 // Action is an output of a Node, to be executed by its host.
 type Action interface{ action() }
@@ -145,8 +145,8 @@
 // ReadAnnouncements reads the page of announcements that begins after a name.
 type ReadAnnouncements struct{ After string }
 
-// Seek reads all announcements of hosts.
-type Seek struct{}
+// ReadAllAnnouncements reads all announcements of hosts.
+type ReadAllAnnouncements struct{}
 
 // Announce writes this host's announcement.
 type Announce struct{}
@@ -216,19 +216,19 @@
 	LogListingApplied  LogKind = logger.ListingApplied
 )
 
-func (Send) action()              {}
-func (Spread) action()            {}
-func (ApplyStoreReport) action()  {}
-func (Read) action()              {}
-func (ReadAnnouncements) action() {}
-func (Seek) action()              {}
-func (Announce) action()          {}
-func (Retract) action()           {}
-func (PublishView) action()       {}
-func (PublishHosts) action()      {}
-func (ApplyReport) action()       {}
-func (Renew) action()             {}
-func (FeedCurrent) action()       {}
-func (PublishPhases) action()     {}
-func (PublishCell) action()       {}
-func (LogEvent) action()          {}
+func (Send) action()                 {}
+func (Spread) action()               {}
+func (ApplyStoreReport) action()     {}
+func (Read) action()                 {}
+func (ReadAnnouncements) action()    {}
+func (ReadAllAnnouncements) action() {}
+func (Announce) action()             {}
+func (Retract) action()              {}
+func (PublishView) action()          {}
+func (PublishHosts) action()         {}
+func (ApplyReport) action()          {}
+func (Renew) action()                {}
+func (FeedCurrent) action()          {}
+func (PublishPhases) action()        {}
+func (PublishCell) action()          {}
+func (LogEvent) action()             {}
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -140,7 +140,7 @@
 		h.spawn(func() { h.read(a) })
 	case ReadAnnouncements:
 		h.spawn(func() { h.find(a.After) })
-	case Seek:
+	case ReadAllAnnouncements:
 		h.spawn(h.seek)
 	case Announce:
 		h.spawn(h.announce)
--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -77,7 +77,7 @@
 
 // seek reads all announcements, to find hosts that this one's peers don't know.
 func (h *Host) seek() {
-	var ev HostsSought
+	var ev AllAnnouncementsRead
 	for next := ""; ; {
 		start := h.opts.Timer.Now()
 		page, err := h.opts.Store.Announced(h.ctx, next)
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -142,8 +142,8 @@
 		n.handleAnnouncementsRead(now, ev)
 	case Announced:
 		n.introducer.Announced(now, ev.Err)
-	case HostsSought:
-		n.handleHostsSought(now, ev)
+	case AllAnnouncementsRead:
+		n.handleAllAnnouncementsRead(now, ev)
 	case WorkReported:
 		n.reportWork(now, ev)
 	case StoreReported:
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -59,11 +59,11 @@
 	n.search.interval = min(2*n.search.interval, maxSearchInterval)
 	n.search.due = now.Add(n.search.interval)
 	n.search.count++
-	n.emit(Seek{})
+	n.emit(ReadAllAnnouncements{})
 }
 
-// handleHostsSought applies the result of a search.
-func (n *Node) handleHostsSought(now time.Time, ev HostsSought) {
+// handleAllAnnouncementsRead applies the result of a search.
+func (n *Node) handleAllAnnouncementsRead(now time.Time, ev AllAnnouncementsRead) {
 	var unknown []tracker.HostRecord
 	announced := false
 	for _, r := range ev.Hosts {
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -317,9 +317,9 @@
 		m.read(h, a)
 	case conductor.ReadAnnouncements:
 		m.reply(h, 1, func() conductor.Event { return m.announcementPage(a.After) })
-	case conductor.Seek:
+	case conductor.ReadAllAnnouncements:
 		m.reply(h, 1+len(m.announcements)/fleetPageRecords, func() conductor.Event {
-			return conductor.HostsSought{
+			return conductor.AllAnnouncementsRead{
 				Hosts: m.announcementPage("").Hosts, Whole: true, End: int64(len(m.announcements)),
 			}
 		})
