--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -292,7 +292,7 @@
 			s.inbox = append(s.inbox, c.found(s))
 		case ReadAllAnnouncements:
 			c.searches++
-			s.inbox = append(s.inbox, AllAnnouncementsRead{Hosts: c.announced(), Whole: true, End: c.announcementsEnd})
+			s.inbox = append(s.inbox, AllAnnouncementsRead{Hosts: c.announced(), Complete: true, End: c.announcementsEnd})
 		case Announce:
 			c.announce(s.node.opts.Self)
 			s.inbox = append(s.inbox, Announced{})
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -54,9 +54,9 @@
 
 // AllAnnouncementsRead is the result of ReadAllAnnouncements. Some announcements may be long out of date.
 type AllAnnouncementsRead struct {
-	Hosts []tracker.HostRecord
-	Whole bool  // Whole reports whether all announcements were read.
-	End   int64 // End is the offset after the newest announcement when the first page was read.
+	Hosts    []tracker.HostRecord
+	Complete bool  // Complete reports whether all announcements were read.
+	End      int64 // End is the offset after the newest announcement when the first page was read.
 }
 
 // WorkReported is this host's load report for the others.
--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -91,7 +91,7 @@
 		}
 		ev.Hosts = append(ev.Hosts, h.decodeRecords(page.Cards)...)
 		if next = page.Next; next == "" {
-			ev.Whole = true
+			ev.Complete = true
 			break
 		}
 	}
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -73,14 +73,14 @@
 			unknown = append(unknown, r)
 		}
 	}
-	if ev.Whole && !announced {
+	if ev.Complete && !announced {
 		n.emit(Announce{})
 	}
-	if ev.Whole {
+	if ev.Complete {
 		n.replenishAnnouncements(ev.Hosts)
 	}
 	n.greetUnknown(now, unknown)
-	if expired := n.expiredAnnouncements(now, unknown); ev.Whole && len(expired) > 0 {
+	if expired := n.expiredAnnouncements(now, unknown); ev.Complete && len(expired) > 0 {
 		n.emit(Retract{Hosts: expired, End: ev.End})
 	}
 }
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -320,7 +320,7 @@
 	case conductor.ReadAllAnnouncements:
 		m.reply(h, 1+len(m.announcements)/fleetPageRecords, func() conductor.Event {
 			return conductor.AllAnnouncementsRead{
-				Hosts: m.announcementPage("").Hosts, Whole: true, End: int64(len(m.announcements)),
+				Hosts: m.announcementPage("").Hosts, Complete: true, End: int64(len(m.announcements)),
 			}
 		})
 	case conductor.Announce:
