--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -275,7 +275,7 @@
 			if c.reaches(s, to) {
 				to.inbox = append(to.inbox, PeerMessage{From: s.name, Message: a.Message})
 			}
-		case Spread:
+		case SendAll:
 			c.sent[s.name] += len(a.To)
 			for _, t := range a.To {
 				if to := c.byName[t.Host]; c.reaches(s, to) {
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -122,8 +122,8 @@
 	Message *messenger.Message
 }
 
-// Spread sends a message to several hosts.
-type Spread struct {
+// SendAll sends a message to several hosts.
+type SendAll struct {
 	To      []messenger.Target
 	Message *messenger.Message
 }
@@ -217,7 +217,7 @@
 )
 
 func (Send) action()                 {}
-func (Spread) action()               {}
+func (SendAll) action()              {}
 func (ApplyStoreReport) action()     {}
 func (Read) action()                 {}
 func (ReadAnnouncements) action()    {}
--- a/conductor/handover_test.go
+++ b/conductor/handover_test.go
@@ -107,7 +107,7 @@
 			n.Handle(cl.now, PeerMessage{From: "host-1", Message: &messenger.Message{News: []follower.News{page}}})
 			forwarded := 0
 			for _, a := range n.Handle(cl.now, FeedRead{News: page, Asked: cl.now}) {
-				if s, ok := a.(Spread); ok {
+				if s, ok := a.(SendAll); ok {
 					for _, news := range s.Message.News {
 						forwarded += len(news.Records)
 					}
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -83,7 +83,7 @@
 		}
 	}
 	if len(to) > 0 {
-		n.emit(Spread{To: to, Message: m})
+		n.emit(SendAll{To: to, Message: m})
 	}
 }
 
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -130,7 +130,7 @@
 	switch a := a.(type) {
 	case Send:
 		h.messenger.Send(a.To, a.Address, a.Message)
-	case Spread:
+	case SendAll:
 		h.messenger.SendAll(a.To, a.Message)
 	case ApplyStoreReport:
 		if !h.placer.ApplyStoreReport(h.opts.Timer.Now(), a.Report) {
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -309,7 +309,7 @@
 	switch a := a.(type) {
 	case conductor.Send:
 		m.send(h, a.To, a.Message)
-	case conductor.Spread:
+	case conductor.SendAll:
 		for _, to := range a.To {
 			m.send(h, to.Host, a.Message)
 		}
