--- a/conductor/node.go
+++ b/conductor/node.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Serves reports whether callers are sent to this host.
-func (n *Node) Serves() bool { return n.topology().selfActive }
+// Active reports whether callers are sent to this host.
+func (n *Node) Active() bool { return n.topology().selfActive }
 
 // Handle applies an event and returns the actions to execute.
 func (n *Node) Handle(now time.Time, ev Event) []Action {
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -254,7 +254,7 @@
 			continue
 		}
 		role := &m.result.Standby
-		if h.node.Serves() {
+		if h.node.Active() {
 			role = &m.result.Active
 		}
 		counts[role]++
