--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -64,7 +64,7 @@
 	}
 	n := NewNode(NodeOptions{
 		Self: record("a"), Decoder: weightsDecoder{}, Timing: DefaultTiming(),
-		Placements: func() []placer.Placement { return nil }, Stores: func() []placer.StoreReport { return nil },
+		Placements: func() []placer.Placement { return nil }, StoreReports: func() []placer.StoreReport { return nil },
 	})
 	unheard := func(ev Event) map[string]bool {
 		for _, a := range n.Handle(time.Unix(5000, 0), ev) {
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -132,7 +132,7 @@
 // answerWants answers the requests of another host.
 func (n *Node) answerWants(to string, wants []string) {
 	if slices.Contains(wants, wantStores) {
-		n.send(to, &messenger.Message{Stores: n.opts.Stores()})
+		n.send(to, &messenger.Message{Stores: n.opts.StoreReports()})
 	}
 	if slices.Contains(wants, wantKept) {
 		n.send(to, n.cacheState())
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -106,7 +106,7 @@
 
 // cacheState returns what this host knows of KV caches.
 func (n *Node) cacheState() *messenger.Message {
-	return &messenger.Message{Report: &placer.Report{Placed: n.opts.Placements()}, Stores: n.opts.Stores()}
+	return &messenger.Message{Report: &placer.Report{Placed: n.opts.Placements()}, Stores: n.opts.StoreReports()}
 }
 
 func (n *Node) handlePeerMessage(now time.Time, ev PeerMessage) {
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -27,11 +27,11 @@
 	Decoder Decoder
 	Timing  Timing
 	// FirstStart reports whether the whole fleet starts for the first time.
-	FirstStart bool
-	Renewer    renewer.Options
-	Busy       func(upstream string) int   // Busy returns the work in flight at an upstream.
-	Placements func() []placer.Placement   // Placements returns what engines may cache, for hosts that start.
-	Stores     func() []placer.StoreReport // Stores returns what is known of KV cache stores.
+	FirstStart   bool
+	Renewer      renewer.Options
+	Busy         func(upstream string) int   // Busy returns the work in flight at an upstream.
+	Placements   func() []placer.Placement   // Placements returns what engines may cache, for hosts that start.
+	StoreReports func() []placer.StoreReport // StoreReports returns what is known of KV cache stores.
 	// Quarantine tracks the requests under which upstreams have ended; it is shared with the
 	// request path.
 	Quarantine *quarantiner.Ledger
--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -47,11 +47,11 @@
 		Decoder: h.opts.Store,
 		Timing:  h.opts.Timing,
 
-		FirstStart: s.Platform.FirstStart,
-		Busy:       h.placer.InFlight,
-		Placements: h.placer.Placements,
-		Stores:     h.placer.StoreReports,
-		Quarantine: h.quarantine,
+		FirstStart:   s.Platform.FirstStart,
+		Busy:         h.placer.InFlight,
+		Placements:   h.placer.Placements,
+		StoreReports: h.placer.StoreReports,
+		Quarantine:   h.quarantine,
 		Renewer: renewer.Options{
 			Host:   s.Host,
 			Term:   h.opts.Timing.LeaseTerm,
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -289,9 +289,9 @@
 			Host: h.name, Term: time.Second, Turn: 3 * time.Second, Margin: 200 * time.Millisecond, AtOnce: 3,
 			Seed: m.rng.Uint64(),
 		},
-		Busy:       func(string) int { return 0 },
-		Placements: func() []placer.Placement { return nil },
-		Stores:     func() []placer.StoreReport { return nil },
+		Busy:         func(string) int { return 0 },
+		Placements:   func() []placer.Placement { return nil },
+		StoreReports: func() []placer.StoreReport { return nil },
 	})
 	m.handleEvery(h, conductor.DefaultTiming().Tick, func() conductor.Event { return conductor.Tick{} })
 	m.handleEvery(h, fleetReportInterval, func() conductor.Event {
