--- a/conductor/host.go
+++ b/conductor/host.go
@@ -40,10 +40,10 @@
 	Announced(ctx context.Context, after string) (tracker.Announcements, error)
 	// Retract removes an announcement if the newest of all announcements ends at offset at.
 	Retract(ctx context.Context, name string, at int64) error
-	// Note saves a value under a key, for hosts that start after the whole fleet was down. Notes
+	// Save saves a value under a key, for hosts that start after the whole fleet was down. Saved
 	// returns all saved values.
-	Note(ctx context.Context, key string, value []byte) error
-	Notes(ctx context.Context) (map[string][]byte, error)
+	Save(ctx context.Context, key string, value []byte) error
+	Saved(ctx context.Context) (map[string][]byte, error)
 	// Lease returns the newest record of a lease and the offset after it; end is 0 if there is
 	// none.
 	Lease(ctx context.Context, name string) (record []byte, end int64, err error)
--- a/conductor/notes.go
+++ b/conductor/notes.go
@@ -35,7 +35,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, saveTimeout)
 	defer cancel()
 	start := h.opts.Timer.Now()
-	saved, err := h.opts.Store.Notes(ctx)
+	saved, err := h.opts.Store.Saved(ctx)
 	h.counters.storeCall("notes", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.NamingsUnread)
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, saveTimeout)
 	defer cancel()
 	start := h.opts.Timer.Now()
-	err := h.opts.Store.Note(ctx, key, value)
+	err := h.opts.Store.Save(ctx, key, value)
 	h.counters.storeCall("note", start, h.opts.Timer.Now(), err)
 	return err
 }
