--- a/conductor/host.go
+++ b/conductor/host.go
@@ -68,17 +68,17 @@
 
 // Options configures a Host.
 type Options struct {
-	Settings loader.Settings
-	Store    Store
-	Sender   exchanger.Sender
-	Engines  Engines
-	Stores   Stores
-	Pool     *forwarder.Pool
-	Edge     func(h *Host) Edge
-	Timing   Timing
-	Timer    timer.Service
-	Log      *logger.Logger
-	Dropped  func() uint64 // Dropped returns the number of log lines lost to a slow writer.
+	Settings    loader.Settings
+	Store       Store
+	Sender      exchanger.Sender
+	Engines     Engines
+	CacheStores CacheStores
+	Pool        *forwarder.Pool
+	Edge        func(h *Host) Edge
+	Timing      Timing
+	Timer       timer.Service
+	Log         *logger.Logger
+	Dropped     func() uint64 // Dropped returns the number of log lines lost to a slow writer.
 }
 
 // Host is one process of the system.
--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -13,8 +13,8 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Stores is the client of the KV cache stores.
-type Stores interface {
+// CacheStores is the client of the KV cache stores.
+type CacheStores interface {
 	// Kept returns a store's changes since an earlier answer; lost reports that some of them are no
 	// longer available.
 	Kept(ctx context.Context, address string, since int64, wait time.Duration) (
@@ -95,14 +95,14 @@
 func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreChanges, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeWait+storeTimeout)
 	defer cancel()
-	news, next, lost, err := h.opts.Stores.Kept(ctx, address, since, storeWait)
+	news, next, lost, err := h.opts.CacheStores.Kept(ctx, address, since, storeWait)
 	if err != nil {
 		return news, next, err
 	}
 	if !lost && (news.Epoch == epoch || since == 0) {
 		return news, next, nil
 	}
-	return h.opts.Stores.KeptAll(ctx, address)
+	return h.opts.CacheStores.KeptAll(ctx, address)
 }
 
 // freeUnused evicts KV caches of replaced weights that no host can still be fetching.
@@ -111,7 +111,7 @@
 	unused := h.placer.Unused(func(text string) bool { return inUse(view, now, text, after) })
 	for _, f := range unused {
 		ctx, cancel := context.WithTimeout(h.ctx, storeTimeout)
-		err := h.opts.Stores.Free(ctx, f)
+		err := h.opts.CacheStores.Free(ctx, f)
 		cancel()
 		h.log.Info().Str("Store", f.Address).Int("Parts", len(f.Parts)).AnErr("Failure", err).Msg(logger.KeptContextFreed)
 	}
--- a/internal/commander/platform.go
+++ b/internal/commander/platform.go
@@ -50,12 +50,12 @@
 	pool := forwarder.NewPool(forwarder.PoolOptions{DialTimeout: upstreamDialTimeout})
 	engines := platform.NewEngines(pool)
 	return conductor.Options{
-		Settings: s,
-		Store:    platform.NewStore(s.Platform.Store),
-		Sender:   platform.NewSender(pool),
-		Engines:  engines,
-		Stores:   engines,
-		Pool:     pool,
+		Settings:    s,
+		Store:       platform.NewStore(s.Platform.Store),
+		Sender:      platform.NewSender(pool),
+		Engines:     engines,
+		CacheStores: engines,
+		Pool:        pool,
 		Edge: func(h *conductor.Host) conductor.Edge {
 			return &platform.Edge{
 				Handle:    h.Handle,
