--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -15,9 +15,9 @@
 
 // CacheStores is the client of the KV cache stores.
 type CacheStores interface {
-	// Kept returns a store's changes since an earlier answer; lost reports that some of them are no
+	// Changes returns a store's changes since an earlier answer; lost reports that some of them are no
 	// longer available.
-	Kept(ctx context.Context, address string, since int64, wait time.Duration) (
+	Changes(ctx context.Context, address string, since int64, wait time.Duration) (
 		news placer.StoreChanges, next int64, lost bool, err error)
 	// KeptAll returns all contents of a store.
 	KeptAll(ctx context.Context, address string) (news placer.StoreChanges, next int64, err error)
@@ -95,7 +95,7 @@
 func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreChanges, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeWait+storeTimeout)
 	defer cancel()
-	news, next, lost, err := h.opts.CacheStores.Kept(ctx, address, since, storeWait)
+	news, next, lost, err := h.opts.CacheStores.Changes(ctx, address, since, storeWait)
 	if err != nil {
 		return news, next, err
 	}
