--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -19,8 +19,8 @@
 	// longer available.
 	Changes(ctx context.Context, address string, since int64, wait time.Duration) (
 		news placer.StoreChanges, next int64, lost bool, err error)
-	// KeptAll returns all contents of a store.
-	KeptAll(ctx context.Context, address string) (news placer.StoreChanges, next int64, err error)
+	// Contents returns all contents of a store.
+	Contents(ctx context.Context, address string) (news placer.StoreChanges, next int64, err error)
 	// Free evicts parts from a store.
 	Free(ctx context.Context, f placer.UnusedParts) error
 }
@@ -102,7 +102,7 @@
 	if !lost && (news.Epoch == epoch || since == 0) {
 		return news, next, nil
 	}
-	return h.opts.CacheStores.KeptAll(ctx, address)
+	return h.opts.CacheStores.Contents(ctx, address)
 }
 
 // freeUnused evicts KV caches of replaced weights that no host can still be fetching.
