--- a/dispatcher/attempts.go
+++ b/dispatcher/attempts.go
@@ -43,8 +43,8 @@
 	Attempts   int  // Attempts limits all attempts; values below 1 mean 1.
 }
 
-// Way is the protocol-specific part of making attempts. C is the choice of an upstream.
-type Way[C any] interface {
+// Attempter is the protocol-specific part of making attempts. C is the choice of an upstream.
+type Attempter[C any] interface {
 	// Choose selects an upstream that has not been tried; false if there is none. It
 	// may wait for one until ctx is done.
 	Choose(ctx context.Context) (C, bool)
@@ -71,7 +71,7 @@
 // Run makes attempts until the caller has its final answer or no other attempt is
 // allowed. A request that is not repeatable is retried only after attempts that
 // did not run.
-func Run[C any](ctx context.Context, p Policy, w Way[C]) Tries {
+func Run[C any](ctx context.Context, p Policy, w Attempter[C]) Tries {
 	var t Tries
 	for {
 		choice, ok := w.Choose(ctx)
--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -21,7 +21,7 @@
 // connections, so that it is not sent to every upstream of a failed service.
 const maxAttempts = 4
 
-// delivery makes the attempts of one exchange. It implements dispatcher.Way for
+// delivery makes the attempts of one exchange. It implements dispatcher.Attempter for
 // requests whose answers are forwarded unchanged.
 type delivery struct {
 	*exchange
@@ -46,13 +46,13 @@
 	}
 }
 
-// Withdraw implements dispatcher.Way.
+// Withdraw implements dispatcher.Attempter.
 func (d *delivery) Withdraw() bool { return d.opts.Budget.Withdraw(d.service) }
 
-// Continues implements dispatcher.Way.
+// Continues implements dispatcher.Attempter.
 func (d *delivery) Continues() bool { return d.stream == nil || d.route.Resumable }
 
-// Choose implements dispatcher.Way. It waits until an upstream has room for the request.
+// Choose implements dispatcher.Attempter. It waits until an upstream has room for the request.
 func (d *delivery) Choose(ctx context.Context) (placer.Choice, bool) {
 	ask := d.ask()
 	if !d.allowed(ask) {
@@ -128,7 +128,7 @@
 	return choice, verdict
 }
 
-// Try implements dispatcher.Way.
+// Try implements dispatcher.Attempter.
 func (d *delivery) Try(ctx context.Context, choice placer.Choice) dispatcher.Result {
 	d.tried = append(d.tried, choice.Upstream.ID)
 	d.outcome.Attempts++
