--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -160,7 +160,7 @@
 		h.serving.Store(&a.Serving)
 		h.budget.SetHosts(h.shareCount())
 		h.watchStores(h.view.Load())
-		h.opts.Pool.Divide(h.shareCount())
+		h.opts.Pool.SetHosts(h.shareCount())
 		h.tuneGC(a.Serving)
 	case ApplyReport:
 		h.placer.ApplyReport(h.opts.Timer.Now(), a.From, a.Report)
--- a/forwarder/pool.go
+++ b/forwarder/pool.go
@@ -119,8 +119,8 @@
 	ctx        context.Context
 }
 
-// Divide sets the number of hosts that divide the connection limits evenly.
-func (p *Pool) Divide(hosts int) {
+// SetHosts sets the number of hosts that divide the connection limits evenly.
+func (p *Pool) SetHosts(hosts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = max(1, hosts)
--- a/forwarder/pool_test.go
+++ b/forwarder/pool_test.go
@@ -168,7 +168,7 @@
 	s := newPoolServer(t, []poolAnswer{{Text: "200 OK|Content-Length: 0||"}, {Text: "200 OK|Content-Length: 0||"}})
 	p := NewPool(PoolOptions{})
 	address := s.listener.Addr().String()
-	p.Divide(3)
+	p.SetHosts(3)
 	call := &Call{Address: address, Most: 5, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
 	first, fail := p.Do(context.Background(), call)
 	assert.Assert(t, fail == nil)
