--- a/forwarder/pool.go
+++ b/forwarder/pool.go
@@ -93,9 +93,9 @@
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// Most limits the connections of all hosts together to the address; if it is 0,
+	// MaxConns limits the connections of all hosts together to the address; if it is 0,
 	// PoolOptions.ConnsPerUpstream applies.
-	Most int
+	MaxConns int
 	// Once marks a request that must run at most once. It is not sent on a connection
 	// that was idle for long.
 	Once bool
@@ -201,7 +201,7 @@
 	if c := p.takeIdle(call); c != nil {
 		return c, nil
 	}
-	if !p.reserveWithin(call.Address, call.Most) {
+	if !p.reserveWithin(call.Address, call.MaxConns) {
 		return nil, &Failure{Cause: CauseConnect, Ran: RanNo, Detail: "all connections to the upstream are in use"}
 	}
 	conn, err := p.dialer.DialContext(ctx, "tcp4", call.Address)
--- a/forwarder/pool_test.go
+++ b/forwarder/pool_test.go
@@ -169,7 +169,7 @@
 	p := NewPool(PoolOptions{})
 	address := s.listener.Addr().String()
 	p.SetHosts(3)
-	call := &Call{Address: address, Most: 5, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
+	call := &Call{Address: address, MaxConns: 5, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
 	first, fail := p.Do(context.Background(), call)
 	assert.Assert(t, fail == nil)
 	_, fail = p.Do(context.Background(), call)
