--- a/forwarder/pool.go
+++ b/forwarder/pool.go
@@ -99,8 +99,8 @@
 	// Once marks a request that must run at most once. It is not sent on a connection
 	// that was idle for long.
 	Once bool
-	// Own reports whether an answer belongs to this call; nil accepts all answers.
-	Own func(h http.Header) bool
+	// Accept reports whether an answer belongs to this call; nil accepts all answers.
+	Accept func(h http.Header) bool
 }
 
 // Reply is an answer of which the body has not been read.
@@ -338,7 +338,7 @@
 		if err != nil {
 			return err
 		}
-		if call.Own == nil || call.Own(resp.Header) {
+		if call.Accept == nil || call.Accept(resp.Header) {
 			r.Status, r.Header, r.Length = resp.StatusCode, resp.Header, resp.ContentLength
 			r.body, r.closeAfter = resp.Body, resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 			return nil
--- a/forwarder/pool_test.go
+++ b/forwarder/pool_test.go
@@ -125,7 +125,7 @@
 	reply, fail := p.Do(context.Background(), &Call{
 		Address: s.listener.Addr().String(), Method: http.MethodPost, Target: "/x", Host: "h",
 		Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
-		Own: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Accept: func(h http.Header) bool { return h.Get("X-Id") == id },
 	})
 	if want.Cause != "" {
 		assert.Assert(t, fail != nil)
