--- a/conductor/host.go
+++ b/conductor/host.go
@@ -87,7 +87,7 @@
 	log        *logger.Logger
 	node       *Node
 	placer     *placer.Placer
-	budget     *retrier.Shared
+	budget     *retrier.SharedBudgets
 	quarantine *quarantiner.Ledger
 	exchanger  *exchanger.Exchanger
 	messenger  *messenger.Messenger
@@ -138,7 +138,7 @@
 		reportRequested:   make(chan struct{}, 1),
 		quarantineChanged: make(chan struct{}, 1),
 		capacityFreed:     make(chan struct{}, 1),
-		budget:            retrier.NewShared(retrier.Allowance{Share: s.Platform.RetryShare, Slack: s.Platform.RetrySlack}),
+		budget:            retrier.NewSharedBudgets(retrier.Allowance{Share: s.Platform.RetryShare, Slack: s.Platform.RetrySlack}),
 	}
 	h.quarantine = quarantiner.New(quarantiner.Options{Changed: h.signalQuarantineChange, Barred: h.logBarred})
 	h.placer = h.newPlacer()
--- a/exchanger/ended_test.go
+++ b/exchanger/ended_test.go
@@ -38,7 +38,7 @@
 			ledger := quarantiner.New(quarantiner.Options{})
 			x := New(Options{
 				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(), Quarantine: ledger,
-				Budget:  retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100}),
+				Budget:  retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return true },
 			})
 			o := x.Handle(t.Context(), &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
@@ -74,7 +74,7 @@
 			var ended []Ended
 			x := New(Options{
 				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(),
-				Budget:  retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100}),
+				Budget:  retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return c.refuses },
 				Ended:   func(e Ended) { ended = append(ended, e) },
 			})
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -38,7 +38,7 @@
 	Beliefs ViewSource
 	Placer  *placer.Placer
 	Sender  Sender
-	Budget  *retrier.Shared
+	Budget  *retrier.SharedBudgets
 	Timer   timer.Service
 	// Chosen is called before each attempt, with the view that the choice is based on;
 	// optional.
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -68,7 +68,7 @@
 	views.Store(view)
 	h.placer = placer.New(placer.Options{})
 	h.placer.Update(view)
-	h.Exchanger = New(Options{Beliefs: &views, Placer: h.placer, Sender: h.sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
+	h.Exchanger = New(Options{Beliefs: &views, Placer: h.placer, Sender: h.sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 	h.ctx, h.leave = context.WithCancel(t.Context())
 	request := func(patience time.Duration) *Request {
 		return &Request{
@@ -187,7 +187,7 @@
 			p := placer.New(placer.Options{})
 			p.Update(view)
 			sender := &silentSender{silent: c.silent, received: make(chan struct{})}
-			budget := retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100})
+			budget := retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100})
 			for range 20 {
 				budget.Request("s")
 			}
--- a/retrier/shared.go
+++ b/retrier/shared.go
@@ -20,23 +20,23 @@
 	Slack float64 // Slack is the number of retries allowed beyond Share in one window.
 }
 
-// Shared holds this host's part of the retry budget of each service. It is safe
+// SharedBudgets holds this host's part of the retry budget of each service. It is safe
 // for concurrent use.
-type Shared struct {
+type SharedBudgets struct {
 	mu        sync.Mutex
 	allowance Allowance
 	hosts     int
 	budgets   map[string]*Budget
 }
 
-// NewShared returns a Shared whose budgets divide a among the hosts.
-func NewShared(a Allowance) *Shared {
-	return &Shared{allowance: a, hosts: minHosts, budgets: make(map[string]*Budget)}
+// NewSharedBudgets returns SharedBudgets whose budgets divide a among the hosts.
+func NewSharedBudgets(a Allowance) *SharedBudgets {
+	return &SharedBudgets{allowance: a, hosts: minHosts, budgets: make(map[string]*Budget)}
 }
 
 // SetHosts sets the number of hosts that share the allowance. Accumulated retries
 // above a budget's new capacity are dropped.
-func (s *Shared) SetHosts(n int) {
+func (s *SharedBudgets) SetHosts(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = max(n, minHosts)
@@ -46,7 +46,7 @@
 }
 
 // SetAllowance sets the allowance of all hosts together.
-func (s *Shared) SetAllowance(a Allowance) {
+func (s *SharedBudgets) SetAllowance(a Allowance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.allowance = a
@@ -56,9 +56,9 @@
 	}
 }
 
-func (s *Shared) capacity() float64 { return usableShare * s.allowance.Slack / float64(s.hosts) }
+func (s *SharedBudgets) capacity() float64 { return usableShare * s.allowance.Slack / float64(s.hosts) }
 
-func (s *Shared) budget(service string) *Budget {
+func (s *SharedBudgets) budget(service string) *Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.budgets[service]
@@ -71,11 +71,11 @@
 }
 
 // Request counts a first attempt at a service.
-func (s *Shared) Request(service string) { s.budget(service).Request() }
+func (s *SharedBudgets) Request(service string) { s.budget(service).Request() }
 
 // Withdraw takes one retry from the budget of a service and reports whether one
 // was left.
-func (s *Shared) Withdraw(service string) bool { return s.budget(service).Withdraw() }
+func (s *SharedBudgets) Withdraw(service string) bool { return s.budget(service).Withdraw() }
 
 func (b *Budget) setCapacity(capacity float64) {
 	b.mu.Lock()
--- a/retrier/shared_test.go
+++ b/retrier/shared_test.go
@@ -9,14 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSharedStaysWithinAllowance checks that any number of hosts together stay
+// TestSharedBudgetsStayWithinAllowance checks that any number of hosts together stay
 // within the allowance, even if all their budgets are full.
-func TestSharedStaysWithinAllowance(t *testing.T) {
+func TestSharedBudgetsStayWithinAllowance(t *testing.T) {
 	a := Allowance{Share: 0.2, Slack: 56}
 	for _, hosts := range []int{1, 6, 8, 11, 84} {
 		retries, requests := 0, 0
 		for range hosts {
-			s := NewShared(a)
+			s := NewSharedBudgets(a)
 			s.SetHosts(hosts)
 			for range 1000 {
 				s.Request("x") // fills the budget
@@ -33,8 +33,8 @@
 	}
 }
 
-func TestSharedKeepsServicesApart(t *testing.T) {
-	s := NewShared(Allowance{Share: 0.01, Slack: 56})
+func TestSharedBudgetsKeepServicesApart(t *testing.T) {
+	s := NewSharedBudgets(Allowance{Share: 0.01, Slack: 56})
 	assert.Assert(t, s.Withdraw("x") && !s.Withdraw("x"))
 	assert.Assert(t, s.Withdraw("y"))
 }
