--- a/conductor/host.go
+++ b/conductor/host.go
@@ -151,7 +151,7 @@
 	// of a starting fleet would watch all KV cache stores.
 	h.serving.Store(&activator.Selection{})
 	h.exchanger = exchanger.New(exchanger.Options{
-		Beliefs:    &h.view,
+		Views:      &h.view,
 		Placer:     h.placer,
 		Sender:     opts.Sender,
 		Budget:     h.budget,
--- a/exchanger/doc.go
+++ b/exchanger/doc.go
@@ -16,6 +16,6 @@
 //
 // # Usage
 //
-//	x := exchanger.New(exchanger.Options{Beliefs: views, Placer: placer, Sender: sender, Budget: budget})
+//	x := exchanger.New(exchanger.Options{Views: views, Placer: placer, Sender: sender, Budget: budget})
 //	outcome := x.Handle(ctx, request, responder)
 package exchanger
--- a/exchanger/ended_test.go
+++ b/exchanger/ended_test.go
@@ -37,7 +37,7 @@
 			p.Update(view)
 			ledger := quarantiner.New(quarantiner.Options{})
 			x := New(Options{
-				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(), Quarantine: ledger,
+				Views: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(), Quarantine: ledger,
 				Budget:  retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return true },
 			})
@@ -73,7 +73,7 @@
 			p.Update(view)
 			var ended []Ended
 			x := New(Options{
-				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(),
+				Views: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(),
 				Budget:  retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return c.refuses },
 				Ended:   func(e Ended) { ended = append(ended, e) },
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -35,11 +35,11 @@
 
 // Options configure an Exchanger.
 type Options struct {
-	Beliefs ViewSource
-	Placer  *placer.Placer
-	Sender  Sender
-	Budget  *retrier.SharedBudgets
-	Timer   timer.Service
+	Views  ViewSource
+	Placer *placer.Placer
+	Sender Sender
+	Budget *retrier.SharedBudgets
+	Timer  timer.Service
 	// Chosen is called before each attempt, with the view that the choice is based on;
 	// optional.
 	Chosen func(r *Request, v *follower.View, c *placer.Choice)
@@ -100,7 +100,7 @@
 // Handle processes a request up to its final answer. ctx must be canceled when the
 // caller leaves.
 func (x *Exchanger) Handle(ctx context.Context, r *Request, w Responder) Outcome {
-	e := &exchange{Exchanger: x, request: r, responder: w, view: x.opts.Beliefs.Load()}
+	e := &exchange{Exchanger: x, request: r, responder: w, view: x.opts.Views.Load()}
 	o := x.handle(ctx, e)
 	o.Took = x.opts.Timer.Now().Sub(r.Start)
 	o.Late = e.route != nil && e.route.Objective > 0 && o.First > e.route.Objective
@@ -127,7 +127,7 @@
 	for !e.view.Ready() {
 		select {
 		case <-tick.C:
-			e.view = e.opts.Beliefs.Load()
+			e.view = e.opts.Views.Load()
 		case <-ctx.Done():
 			return
 		}
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -184,7 +184,7 @@
 	for range 20 {
 		budget.Request("s")
 	}
-	x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
+	x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
 	caller := &recorder{}
 	key := c.Key
 	if key == "" {
@@ -235,7 +235,7 @@
 			p := placer.New(placer.Options{})
 			p.Update(view)
 			sender := &leavingSender{}
-			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
+			x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 			ctx, cancel := context.WithCancel(context.Background())
 			sender.leave = cancel
 			x.Handle(ctx, &Request{ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
@@ -264,7 +264,7 @@
 			if c.leave {
 				sender.cancel = cancel
 			}
-			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
+			x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 			caller := &recorder{}
 			o := x.Handle(ctx, &Request{ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key"}, caller)
 			assert.Equal(t, o.Reason, c.want)
--- a/exchanger/unready_test.go
+++ b/exchanger/unready_test.go
@@ -52,7 +52,7 @@
 			p.Update(b.view)
 			sender := &blockingSender{release: make(chan struct{})}
 			close(sender.release)
-			x := New(Options{Beliefs: b, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
+			x := New(Options{Views: b, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 			caller := &recorder{}
 			r := &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key", Patience: c.patience}
 			x.Handle(context.Background(), r, caller)
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -68,7 +68,7 @@
 	views.Store(view)
 	h.placer = placer.New(placer.Options{})
 	h.placer.Update(view)
-	h.Exchanger = New(Options{Beliefs: &views, Placer: h.placer, Sender: h.sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
+	h.Exchanger = New(Options{Views: &views, Placer: h.placer, Sender: h.sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 	h.ctx, h.leave = context.WithCancel(t.Context())
 	request := func(patience time.Duration) *Request {
 		return &Request{
@@ -191,7 +191,7 @@
 			for range 20 {
 				budget.Request("s")
 			}
-			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
+			x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
 			ended := make(chan Outcome, 1)
 			go func() {
 				ended <- x.Handle(t.Context(), &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
