--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -119,7 +119,7 @@
 
 // awaitReady waits until this host has a ready view or the wait limit has passed.
 func (e *exchange) awaitReady(ctx context.Context) {
-	limit := min(maxReadyWait, time.Duration(readyWaitShare*float64(e.request.Patience)))
+	limit := min(maxReadyWait, time.Duration(readyWaitShare*float64(e.request.Timeout)))
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	tick := time.NewTicker(readyPollInterval)
@@ -194,8 +194,8 @@
 	if e.route.Timeout > 0 {
 		timeout = min(timeout, e.route.Timeout)
 	}
-	if e.request.Patience > 0 {
-		timeout = min(timeout, e.request.Patience)
+	if e.request.Timeout > 0 {
+		timeout = min(timeout, e.request.Timeout)
 	}
 	return timeout
 }
--- a/exchanger/request.go
+++ b/exchanger/request.go
@@ -25,7 +25,7 @@
 	Header    http.Header // Header has the fields to be forwarded unchanged.
 	Body      []byte
 	Key       string         // Key authenticates the workspace; empty if none was sent.
-	Patience  time.Duration  // Patience is the caller's timeout; 0 if unknown.
+	Timeout   time.Duration  // Timeout is the caller's timeout; 0 if unknown.
 	Prompt    *placer.Prompt // Prompt is nil for plain services.
 	LastEvent string         // LastEvent is the ID of the event after which to resume a stream.
 }
--- a/exchanger/unready_test.go
+++ b/exchanger/unready_test.go
@@ -54,7 +54,7 @@
 			close(sender.release)
 			x := New(Options{Views: b, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 			caller := &recorder{}
-			r := &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key", Patience: c.patience}
+			r := &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key", Timeout: c.patience}
 			x.Handle(context.Background(), r, caller)
 			assert.Equal(t, caller.status, c.want)
 		})
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -72,7 +72,7 @@
 	h.ctx, h.leave = context.WithCancel(t.Context())
 	request := func(patience time.Duration) *Request {
 		return &Request{
-			ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key", Patience: patience,
+			ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key", Timeout: patience,
 			Prompt: &placer.Prompt{Model: "m", Parts: []placer.Part{{ID: "a", Tokens: 400}, {ID: "b", Tokens: 200}}},
 		}
 	}
