--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -137,7 +137,7 @@
 	if d.opts.Chosen != nil {
 		d.opts.Chosen(d.request, d.view, &choice)
 	}
-	directions := &Directions{
+	directions := &SendOptions{
 		Upstream:      choice.Upstream,
 		Remaining:     d.deadline.Sub(d.opts.Timer.Now()),
 		Once:          !d.route.Repeatable(),
@@ -171,7 +171,7 @@
 
 // attempt makes one attempt. It is canceled when its upstream stalls if another attempt
 // is allowed; otherwise the stalled upstream may still answer.
-func (d *delivery) attempt(ctx context.Context, choice placer.Choice, directions *Directions) dispatcher.Result {
+func (d *delivery) attempt(ctx context.Context, choice placer.Choice, directions *SendOptions) dispatcher.Result {
 	if !d.route.Repeatable() || d.outcome.Attempts >= d.route.MaxAttempts {
 		return d.send(ctx, choice, directions)
 	}
@@ -186,7 +186,7 @@
 }
 
 // send sends one attempt and forwards its answer.
-func (d *delivery) send(ctx context.Context, choice placer.Choice, directions *Directions) dispatcher.Result {
+func (d *delivery) send(ctx context.Context, choice placer.Choice, directions *SendOptions) dispatcher.Result {
 	answer, fail := d.opts.Sender.Send(ctx, d.request, directions)
 	if fail != nil {
 		return dispatcher.Failed(fail)
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -45,7 +45,7 @@
 
 var errCut = errors.New("cut")
 
-func (s *scriptedSender) Send(ctx context.Context, _ *Request, d *Directions) (Answer, *forwarder.Failure) {
+func (s *scriptedSender) Send(ctx context.Context, _ *Request, d *SendOptions) (Answer, *forwarder.Failure) {
 	do := s.script[s.sent]
 	s.sent++
 	verb, arg, _ := strings.Cut(do, " ")
@@ -277,7 +277,7 @@
 // stallingSender sends two events and then nothing until the attempt is canceled.
 type stallingSender struct{ cancel func() }
 
-func (s stallingSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
+func (s stallingSender) Send(ctx context.Context, _ *Request, _ *SendOptions) (Answer, *forwarder.Failure) {
 	s.cancel()
 	return &fakeAnswer{status: 200, body: events(0, 2), end: errCut, until: ctx.Done()}, nil
 }
@@ -288,7 +288,7 @@
 	canceled bool
 }
 
-func (s *leavingSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
+func (s *leavingSender) Send(ctx context.Context, _ *Request, _ *SendOptions) (Answer, *forwarder.Failure) {
 	s.leave()
 	s.canceled = ctx.Err() != nil
 	return &fakeAnswer{status: 200, body: "x", end: io.EOF}, nil
--- a/exchanger/request.go
+++ b/exchanger/request.go
@@ -108,8 +108,8 @@
 // free for a starting host.
 const connectionShare = 0.8
 
-// Directions are the parameters for sending one attempt.
-type Directions struct {
+// SendOptions are the parameters for sending one attempt.
+type SendOptions struct {
 	Upstream follower.Upstream
 	// Connections limits the connections of all hosts together to the upstream; 0 for no limit.
 	Connections int
@@ -129,5 +129,5 @@
 
 // Sender sends attempts to upstreams.
 type Sender interface {
-	Send(ctx context.Context, r *Request, d *Directions) (Answer, *forwarder.Failure)
+	Send(ctx context.Context, r *Request, d *SendOptions) (Answer, *forwarder.Failure)
 }
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -44,7 +44,7 @@
 	release chan struct{}
 }
 
-func (s *blockingSender) Send(context.Context, *Request, *Directions) (Answer, *forwarder.Failure) {
+func (s *blockingSender) Send(context.Context, *Request, *SendOptions) (Answer, *forwarder.Failure) {
 	s.sent.Add(1)
 	<-s.release
 	return &fakeAnswer{status: 200, body: events(0, 1), end: io.EOF}, nil
@@ -162,7 +162,7 @@
 	received chan struct{}
 }
 
-func (s *silentSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
+func (s *silentSender) Send(ctx context.Context, _ *Request, _ *SendOptions) (Answer, *forwarder.Failure) {
 	if s.sent.Add(1) <= s.silent {
 		s.received <- struct{}{}
 		<-ctx.Done()
