--- a/conductor/record.go
+++ b/conductor/record.go
@@ -48,7 +48,7 @@
 		ev.Array("Attempts", attempts(o.Choices))
 	}
 	ev.Bool("Late", o.Late).Int("Events", o.Events).Dur("Waited", o.Waited).
-		Dur("Awaited", o.Awaited).Dur("First", o.First).Dur("Took", o.Took).Msg(logger.RequestEnded)
+		Dur("Awaited", o.PrefillWait).Dur("First", o.First).Dur("Took", o.Took).Msg(logger.RequestEnded)
 }
 
 // logUpstreamEnded logs an upstream that ended while serving a request.
--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -87,7 +87,7 @@
 func (d *delivery) awaitPrefill(ctx context.Context, w placer.Wait) {
 	start := d.opts.Timer.Now()
 	w.For(ctx)
-	d.outcome.Awaited += d.opts.Timer.Now().Sub(start)
+	d.outcome.PrefillWait += d.opts.Timer.Now().Sub(start)
 }
 
 // ask returns the placement request.
