--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -239,7 +239,7 @@
 		case w.read.Full:
 			ev.News = c.listing(w.read.Feed)
 		case w.read.From < c.oldest[w.read.Feed]:
-			ev.Err = follower.ErrForgotten
+			ev.Err = follower.ErrCompacted
 		case int64(len(log)) <= w.read.From && c.now.Before(w.deadline):
 			pending = append(pending, w)
 			continue
--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -103,7 +103,7 @@
 }
 
 func (n *Node) readFailed(now time.Time, f *feed, ev FeedRead) {
-	if errors.Is(ev.Err, follower.ErrForgotten) {
+	if errors.Is(ev.Err, follower.ErrCompacted) {
 		f.loaded = false // the newest record of each key is still available
 		return
 	}
--- a/follower/types.go
+++ b/follower/types.go
@@ -23,9 +23,9 @@
 	FeedUpstreams Feed = "Upstreams" // FeedUpstreams holds an entry for each upstream.
 )
 
-// ErrForgotten is returned for a read from an offset that the store has compacted away. The newest
+// ErrCompacted is returned for a read from an offset that the store has compacted away. The newest
 // record of each key is still available.
-var ErrForgotten = errors.New("follower: requested records have been compacted by the store")
+var ErrCompacted = errors.New("follower: requested records have been compacted by the store")
 
 // Record is one record of a feed, as hosts store it and send it to each other.
 type Record struct {
