--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -224,7 +224,7 @@
 func (c *cluster) answerReads(s *simNode) {
 	var pending []*simRead
 	for _, w := range s.waiting {
-		ev := FeedRead{News: follower.News{Feed: w.read.Feed}, Asked: w.start, Wait: w.read.Wait}
+		ev := FeedRead{Page: follower.FeedPage{Feed: w.read.Feed}, Asked: w.start, Wait: w.read.Wait}
 		log := c.logs[w.read.Feed]
 		silent := w.silent || s.access == accessSilent
 		w.silent = silent
@@ -237,23 +237,23 @@
 		case silent:
 			ev.Err = errors.New("no answer")
 		case w.read.Full:
-			ev.News = c.listing(w.read.Feed)
+			ev.Page = c.listing(w.read.Feed)
 		case w.read.From < c.oldest[w.read.Feed]:
 			ev.Err = follower.ErrCompacted
 		case int64(len(log)) <= w.read.From && c.now.Before(w.deadline):
 			pending = append(pending, w)
 			continue
 		default:
-			ev.News.From, ev.News.Next = w.read.From, int64(len(log))
-			ev.News.Records = log[min(w.read.From, int64(len(log))):]
+			ev.Page.From, ev.Page.Next = w.read.From, int64(len(log))
+			ev.Page.Records = log[min(w.read.From, int64(len(log))):]
 		}
 		s.inbox = append(s.inbox, ev)
 	}
 	s.waiting = pending
 }
 
-func (c *cluster) listing(f follower.Feed) follower.News {
-	news := follower.News{Feed: f, Full: true, Next: int64(len(c.logs[f]))}
+func (c *cluster) listing(f follower.Feed) follower.FeedPage {
+	news := follower.FeedPage{Feed: f, Full: true, Next: int64(len(c.logs[f]))}
 	newest := make(map[string]follower.Record)
 	for _, r := range c.logs[f] {
 		newest[r.Key] = r
--- a/conductor/delays.go
+++ b/conductor/delays.go
@@ -43,8 +43,8 @@
 }
 
 // withUnknownAge returns pages whose ages are set to unknownAge.
-func withUnknownAge(pages []follower.News) []follower.News {
-	out := make([]follower.News, len(pages))
+func withUnknownAge(pages []follower.FeedPage) []follower.FeedPage {
+	out := make([]follower.FeedPage, len(pages))
 	for i, p := range pages {
 		p.Age = unknownAge
 		out[i] = p
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -24,7 +24,7 @@
 
 // FeedRead is the result of a Read.
 type FeedRead struct {
-	News  follower.News
+	Page  follower.FeedPage
 	Asked time.Time     // Asked is when the request was sent.
 	Wait  time.Duration // Wait is how long the store could wait for a record.
 	Err   error
--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -69,26 +69,26 @@
 }
 
 func (n *Node) handleFeedRead(now time.Time, ev FeedRead) {
-	f := n.feeds[ev.News.Feed]
+	f := n.feeds[ev.Page.Feed]
 	f.reading = false
 	if ev.Err != nil {
 		n.readFailed(now, f, ev)
 		return
 	}
 	if f.failing {
-		n.emit(LogEvent{Kind: LogStoreBack, Feed: ev.News.Feed, Age: now.Sub(f.currentAt)})
+		n.emit(LogEvent{Kind: LogStoreBack, Feed: ev.Page.Feed, Age: now.Sub(f.currentAt)})
 	}
 	f.failing, f.failures = false, 0
 	n.state.Answered(now)
 	asOf := coveredUntil(now, ev)
-	f.soleReader, f.heardPage = !ev.News.Full && !f.heardPage, false
-	forwarded := n.applyPage(now, ev.News, asOf)
+	f.soleReader, f.heardPage = !ev.Page.Full && !f.heardPage, false
+	forwarded := n.applyPage(now, ev.Page, asOf)
 	f.retryAt = now.Add(n.readInterval())
-	if !ev.News.Full {
-		news := ev.News
+	if !ev.Page.Full {
+		news := ev.Page
 		news.Age = now.Sub(asOf)
 		news.Records = forwarded
-		n.broadcast(&messenger.Message{News: []follower.News{news}})
+		n.broadcast(&messenger.Message{FeedPages: []follower.FeedPage{news}})
 	}
 }
 
@@ -96,7 +96,7 @@
 // wait covers the time until the store stopped waiting.
 func coveredUntil(now time.Time, ev FeedRead) time.Time {
 	took := now.Sub(ev.Asked)
-	if ev.Wait > 0 && took >= ev.Wait && len(ev.News.Records) == 0 {
+	if ev.Wait > 0 && took >= ev.Wait && len(ev.Page.Records) == 0 {
 		return now.Add(ev.Wait - took)
 	}
 	return ev.Asked
@@ -108,16 +108,16 @@
 		return
 	}
 	if !f.failing {
-		n.emit(LogEvent{Kind: LogStoreLost, Feed: ev.News.Feed, Age: now.Sub(f.currentAt), Err: ev.Err})
+		n.emit(LogEvent{Kind: LogStoreLost, Feed: ev.Page.Feed, Age: now.Sub(f.currentAt), Err: ev.Err})
 	}
 	f.failing = true
 	f.failures++
-	f.retryAt = now.Add(n.retryDelay(ev.News.Feed, f.failures))
+	f.retryAt = now.Add(n.retryDelay(ev.Page.Feed, f.failures))
 	n.state.Failed()
 }
 
 // applyPage applies a page and returns the records to forward to other hosts.
-func (n *Node) applyPage(now time.Time, news follower.News, asOf time.Time) (forwarded []follower.Record) {
+func (n *Node) applyPage(now time.Time, news follower.FeedPage, asOf time.Time) (forwarded []follower.Record) {
 	f := n.feeds[news.Feed]
 	if !news.Full && (!f.loaded || news.From > f.next) {
 		return nil // records between the known ones and this page are missing
@@ -160,7 +160,7 @@
 	return ok && old.changed >= r.Offset
 }
 
-func (n *Node) applyListing(now time.Time, news follower.News, f *feed) {
+func (n *Node) applyListing(now time.Time, news follower.FeedPage, f *feed) {
 	f.loaded, f.droppedFrom = true, news.Next
 	listed := make(map[string]bool, len(news.Records))
 	for _, r := range news.Records {
@@ -214,7 +214,7 @@
 
 // endEvacuations ends the evacuations that are missing from a listing of the operators' feed: their
 // records were removed while this host did not read the feed.
-func (n *Node) endEvacuations(now time.Time, news follower.News, f *feed, listed map[string]bool) {
+func (n *Node) endEvacuations(now time.Time, news follower.FeedPage, f *feed, listed map[string]bool) {
 	for key, record := range f.newest {
 		dropped := follower.Record{Key: key, Offset: news.Next - 1}
 		if listed[key] || record.Offset >= dropped.Offset {
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -151,9 +151,9 @@
 			continue
 		}
 		if from >= f.droppedFrom {
-			news := follower.News{Feed: name, Kept: true, From: from, Next: f.next,
+			news := follower.FeedPage{Feed: name, Kept: true, From: from, Next: f.next,
 				Age: now.Sub(f.currentAt), Records: f.changesSince(from)}
-			n.send(to, &messenger.Message{News: []follower.News{news}})
+			n.send(to, &messenger.Message{FeedPages: []follower.FeedPage{news}})
 			continue
 		}
 		n.send(to, f.listing(now, name))
@@ -174,11 +174,11 @@
 	if f.cached.message != nil && now.Sub(f.cached.made) < listingTTL {
 		return f.cached.message
 	}
-	news := follower.News{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.currentAt) + listingTTL}
+	news := follower.FeedPage{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.currentAt) + listingTTL}
 	for _, r := range f.newest {
 		news.Records = append(news.Records, r.Record)
 	}
-	f.cached = cachedListing{message: &messenger.Message{News: []follower.News{news}}, made: now}
+	f.cached = cachedListing{message: &messenger.Message{FeedPages: []follower.FeedPage{news}}, made: now}
 	return f.cached.message
 }
 
@@ -228,7 +228,7 @@
 }
 
 // receivePages applies pages that another host sent.
-func (n *Node) receivePages(now time.Time, pages []follower.News) {
+func (n *Node) receivePages(now time.Time, pages []follower.FeedPage) {
 	for _, news := range pages {
 		f, ok := n.feeds[news.Feed]
 		if !ok || news.Full && f.loaded && news.Next <= f.next {
--- a/conductor/handover_test.go
+++ b/conductor/handover_test.go
@@ -18,7 +18,7 @@
 func (c *cluster) countListings(f follower.Feed) *int {
 	n := new(int)
 	c.onMessage = func(ev PeerMessage) {
-		for _, news := range ev.Message.News {
+		for _, news := range ev.Message.FeedPages {
 			if news.Feed == f && news.Full {
 				*n++
 			}
@@ -103,12 +103,12 @@
 			cl.run(2 * time.Second)
 			n := cl.nodes[1].node
 			next := n.feeds[c.feed].next
-			page := follower.News{Feed: c.feed, From: next, Next: next + 1, Records: []follower.Record{{Key: c.key, Value: []byte(c.value), Offset: next}}}
-			n.Handle(cl.now, PeerMessage{From: "host-1", Message: &messenger.Message{News: []follower.News{page}}})
+			page := follower.FeedPage{Feed: c.feed, From: next, Next: next + 1, Records: []follower.Record{{Key: c.key, Value: []byte(c.value), Offset: next}}}
+			n.Handle(cl.now, PeerMessage{From: "host-1", Message: &messenger.Message{FeedPages: []follower.FeedPage{page}}})
 			forwarded := 0
-			for _, a := range n.Handle(cl.now, FeedRead{News: page, Asked: cl.now}) {
+			for _, a := range n.Handle(cl.now, FeedRead{Page: page, Asked: cl.now}) {
 				if s, ok := a.(SendAll); ok {
-					for _, news := range s.Message.News {
+					for _, news := range s.Message.FeedPages {
 						forwarded += len(news.Records)
 					}
 				}
--- a/conductor/host.go
+++ b/conductor/host.go
@@ -32,8 +32,8 @@
 // Store is the platform's store.
 type Store interface {
 	Decoder
-	Newest(ctx context.Context, f follower.Feed) (follower.News, error)
-	Read(ctx context.Context, f follower.Feed, from int64, wait time.Duration) (follower.News, error)
+	Newest(ctx context.Context, f follower.Feed) (follower.FeedPage, error)
+	Read(ctx context.Context, f follower.Feed, from int64, wait time.Duration) (follower.FeedPage, error)
 	// Announce writes this host's announcement, by which other hosts find it.
 	Announce(ctx context.Context, host string, card []byte) error
 	// Announced returns the page of announcements, ordered by name, that begins after a name.
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -114,7 +114,7 @@
 	n.introducer.Met()
 	n.hostsDirty = n.hosts.Heard(now, ev.From) || n.hostsDirty
 	if n.arrivals.mayBeStale(now, ev.From) {
-		m = m.WithNews(withUnknownAge(m.News))
+		m = m.WithFeedPages(withUnknownAge(m.FeedPages))
 	}
 	if m.Digest != 0 && !m.Full && !slices.Contains(n.hosts.Neighbours(), ev.From) {
 		// A host that counts this one among its neighbours must hear from it, or suspects it.
@@ -124,7 +124,7 @@
 	n.notifySuspect(ev.From)
 	n.answerWants(ev.From, m.Wants)
 	n.sendMissing(now, ev.From, m.Lacks)
-	n.receivePages(now, m.News)
+	n.receivePages(now, m.FeedPages)
 	if len(m.Namings) > 0 {
 		n.viewDirty = n.state.Recall(now, m.Namings) || n.viewDirty
 	}
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -179,11 +179,11 @@
 	start := h.opts.Timer.Now()
 	ev := FeedRead{Asked: start, Wait: a.Wait}
 	if a.Full {
-		ev.News, ev.Err = h.opts.Store.Newest(h.ctx, a.Feed)
+		ev.Page, ev.Err = h.opts.Store.Newest(h.ctx, a.Feed)
 	} else {
-		ev.News, ev.Err = h.opts.Store.Read(h.ctx, a.Feed, a.From, a.Wait)
+		ev.Page, ev.Err = h.opts.Store.Read(h.ctx, a.Feed, a.From, a.Wait)
 	}
-	ev.News.Feed = a.Feed
+	ev.Page.Feed = a.Feed
 	h.counters.storeCall("read", start, h.opts.Timer.Now(), ev.Err)
 	h.post(ev)
 }
--- a/conductor/standby_test.go
+++ b/conductor/standby_test.go
@@ -78,7 +78,7 @@
 	c.write(follower.FeedOperator, "config", "version 1")
 	forwarded := 0
 	c.onMessage = func(ev PeerMessage) {
-		for _, news := range ev.Message.News {
+		for _, news := range ev.Message.FeedPages {
 			if news.Feed == follower.FeedUpstreams && !news.Full {
 				forwarded += len(news.Records)
 			}
@@ -136,7 +136,7 @@
 				}
 				across := 0
 				c.onMessage = func(ev PeerMessage) {
-					for _, news := range ev.Message.News {
+					for _, news := range ev.Message.FeedPages {
 						if news.Full && news.Feed == follower.FeedUpstreams && c.recipient.zone != c.byName[ev.From].zone {
 							across++
 						}
--- a/experimenter/fleetstore.go
+++ b/experimenter/fleetstore.go
@@ -77,12 +77,12 @@
 			listed[r.Key] = r
 		}
 		m.reply(h, 1+len(listed)/fleetPageRecords, func() conductor.Event {
-			news := follower.News{Feed: a.Feed, Full: true, Next: int64(len(log))}
+			news := follower.FeedPage{Feed: a.Feed, Full: true, Next: int64(len(log))}
 			for _, r := range listed {
 				news.Records = append(news.Records, r)
 				m.result.StoreBytes += len(r.Value)
 			}
-			return conductor.FeedRead{News: news, Asked: asked, Wait: a.Wait}
+			return conductor.FeedRead{Page: news, Asked: asked, Wait: a.Wait}
 		})
 		return
 	}
@@ -95,13 +95,13 @@
 		answered = true
 		m.handleAt(h, m.now.Add(fleetStoreLatency), func() conductor.Event {
 			log := m.logs[a.Feed]
-			news := follower.News{
+			news := follower.FeedPage{
 				Feed: a.Feed, From: a.From, Next: int64(len(log)), Records: log[min(a.From, int64(len(log))):],
 			}
 			for _, r := range news.Records {
 				m.result.StoreBytes += len(r.Value)
 			}
-			return conductor.FeedRead{News: news, Asked: asked, Wait: a.Wait}
+			return conductor.FeedRead{Page: news, Asked: asked, Wait: a.Wait}
 		})
 	}
 	if int64(len(m.logs[a.Feed])) > a.From {
--- a/follower/types.go
+++ b/follower/types.go
@@ -34,8 +34,8 @@
 	Offset int64  `cbor:"3,keyasint"`
 }
 
-// News is a page of a feed that a host has read and forwards to others.
-type News struct {
+// FeedPage is a page of a feed that a host has read and forwards to others.
+type FeedPage struct {
 	Feed    Feed          `cbor:"1,keyasint"`
 	Full    bool          `cbor:"2,keyasint,omitempty"` // Full reports whether Records has the newest record of every key.
 	From    int64         `cbor:"3,keyasint"`
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -51,15 +51,15 @@
 	Use       float64                  `cbor:"27,keyasint,omitempty"` // Use is the sender's number of cores in use; with Report.
 	// Ended holds updates on requests during which upstreams have failed; EndedDigest is the digest
 	// of all of them that the sender knows, sent with Digest.
-	Ended       []quarantiner.Word `cbor:"30,keyasint,omitempty"`
-	EndedDigest uint64             `cbor:"31,keyasint,omitempty"`
-	News        []follower.News    `cbor:"20,keyasint,omitempty"` // News holds pages of feeds that the sender has read.
+	Ended       []quarantiner.Word  `cbor:"30,keyasint,omitempty"`
+	EndedDigest uint64              `cbor:"31,keyasint,omitempty"`
+	FeedPages   []follower.FeedPage `cbor:"20,keyasint,omitempty"` // FeedPages holds pages of feeds that the sender has read.
 }
 
-// WithNews returns a shallow copy of m in which News is replaced.
-func (m *Message) WithNews(pages []follower.News) *Message {
+// WithFeedPages returns a shallow copy of m in which FeedPages is replaced.
+func (m *Message) WithFeedPages(pages []follower.FeedPage) *Message {
 	c := *m
-	c.News = pages
+	c.FeedPages = pages
 	return &c
 }
 
--- a/messenger/pack_test.go
+++ b/messenger/pack_test.go
@@ -14,7 +14,7 @@
 
 // newListing returns a message with the feed entries of n upstreams.
 func newListing(n int) *Message {
-	news := follower.News{Feed: follower.FeedUpstreams, Full: true, Next: int64(n)}
+	news := follower.FeedPage{Feed: follower.FeedUpstreams, Full: true, Next: int64(n)}
 	for i := range n {
 		news.Records = append(news.Records, follower.Record{
 			Key: fmt.Sprintf("i-%08x", uint32(i)*2654435761),
@@ -23,7 +23,7 @@
 			Offset: int64(i),
 		})
 	}
-	return &Message{News: []follower.News{news}}
+	return &Message{FeedPages: []follower.FeedPage{news}}
 }
 
 // TestLongMessagesAreCompressed: long messages are compressed and restored, short ones are not
@@ -32,13 +32,13 @@
 	m := newListing(3000)
 	b := Encode(m)
 	plain := 0
-	for _, r := range m.News[0].Records {
+	for _, r := range m.FeedPages[0].Records {
 		plain += len(r.Key) + len(r.Value)
 	}
 	assert.Assert(t, len(b) < plain/10, "%d of %d bytes", len(b), plain)
 	got, err := Decode(b)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got.News, m.News)
+	assert.DeepEqual(t, got.FeedPages, m.FeedPages)
 
 	b = Encode(&Message{Digest: 7})
 	assert.Assert(t, b[0]>>majorTypeShift != compressedMajorType)
