--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -151,7 +151,7 @@
 			continue
 		}
 		if from >= f.droppedFrom {
-			news := follower.FeedPage{Feed: name, Kept: true, From: from, Next: f.next,
+			news := follower.FeedPage{Feed: name, FromMemory: true, From: from, Next: f.next,
 				Age: now.Sub(f.currentAt), Records: f.changesSince(from)}
 			n.send(to, &messenger.Message{FeedPages: []follower.FeedPage{news}})
 			continue
@@ -234,7 +234,7 @@
 		if !ok || news.Full && f.loaded && news.Next <= f.next {
 			continue
 		}
-		if !news.Full && !news.Kept {
+		if !news.Full && !news.FromMemory {
 			f.heardPage = true
 			n.state.Answered(now) // the store has answered another host, so it is reachable
 		}
--- a/follower/types.go
+++ b/follower/types.go
@@ -36,13 +36,13 @@
 
 // FeedPage is a page of a feed that a host has read and forwards to others.
 type FeedPage struct {
-	Feed    Feed          `cbor:"1,keyasint"`
-	Full    bool          `cbor:"2,keyasint,omitempty"` // Full reports whether Records has the newest record of every key.
-	From    int64         `cbor:"3,keyasint"`
-	Next    int64         `cbor:"4,keyasint"`           // Next is the offset after the last record covered.
-	Age     time.Duration `cbor:"5,keyasint,omitempty"` // Age is how long ago the page was read.
-	Records []Record      `cbor:"6,keyasint,omitempty"`
-	Kept    bool          `cbor:"7,keyasint,omitempty"` // Kept reports whether the page comes from a host's memory instead of a recent read.
+	Feed       Feed          `cbor:"1,keyasint"`
+	Full       bool          `cbor:"2,keyasint,omitempty"` // Full reports whether Records has the newest record of every key.
+	From       int64         `cbor:"3,keyasint"`
+	Next       int64         `cbor:"4,keyasint"`           // Next is the offset after the last record covered.
+	Age        time.Duration `cbor:"5,keyasint,omitempty"` // Age is how long ago the page was read.
+	Records    []Record      `cbor:"6,keyasint,omitempty"`
+	FromMemory bool          `cbor:"7,keyasint,omitempty"` // FromMemory reports whether the page comes from a host's memory instead of a recent read.
 }
 
 // Standing is the state that an upstream reports of itself.
