--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -126,7 +126,7 @@
 	n.sendMissing(now, ev.From, m.Lacks)
 	n.receivePages(now, m.FeedPages)
 	if len(m.Namings) > 0 {
-		n.viewDirty = n.state.Recall(now, m.Namings) || n.viewDirty
+		n.viewDirty = n.state.MergeVersionAges(now, m.Namings) || n.viewDirty
 	}
 	n.compareOffsets(now, ev.From, m.Offsets)
 	if m.Renewal != nil {
--- a/conductor/namings_test.go
+++ b/conductor/namings_test.go
@@ -41,10 +41,10 @@
 	for _, weights := range []uint64{1, 2, 3} {
 		assert.Assert(t, inUse(state.View(), now, salt(weights), after), "the ages are unknown")
 	}
-	assert.Assert(t, state.Recall(now, []follower.Naming{
+	assert.Assert(t, state.MergeVersionAges(now, []follower.Naming{
 		{Model: "m", Version: 2, Age: 14 * time.Second}, {Model: "m", Version: 3, Age: 9 * time.Second},
 	}))
-	assert.Assert(t, !state.Recall(now, []follower.Naming{{Model: "m", Version: 3, Age: 9 * time.Second}}), "already known")
+	assert.Assert(t, !state.MergeVersionAges(now, []follower.Naming{{Model: "m", Version: 3, Age: 9 * time.Second}}), "already known")
 	assert.Assert(t, !inUse(state.View(), now, salt(1), after))
 	assert.Assert(t, inUse(state.View(), now, salt(2), after))
 	assert.Assert(t, !inUse(state.View(), now.Add(4*time.Second), salt(2), after))
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -153,7 +153,7 @@
 	case StoreGap:
 		n.requestStores(now, ev.From)
 	case NamingsRestored:
-		n.viewDirty = n.state.Recall(now, ev.Namings) || n.viewDirty
+		n.viewDirty = n.state.MergeVersionAges(now, ev.Namings) || n.viewDirty
 		n.broadcast(&messenger.Message{Namings: ev.Namings})
 	case QuarantineChanged:
 		n.broadcastQuarantine()
--- a/follower/state.go
+++ b/follower/state.go
@@ -181,10 +181,10 @@
 // Namings returns the known weight versions of all models, including earlier ones.
 func (v *View) Namings(now time.Time) []Naming { return namings(now, v.Named) }
 
-// Recall merges weight versions reported by another host and reports whether the view changes.
+// MergeVersionAges merges weight versions reported by another host and reports whether the view changes.
 // Without them a host that has just started would treat versions replaced long ago as replaced
 // recently.
-func (s *State) Recall(now time.Time, reported []Naming) bool {
+func (s *State) MergeVersionAges(now time.Time, reported []Naming) bool {
 	for _, t := range reported {
 		s.peerNamings[t.Model] = append(s.peerNamings[t.Model], Named{Version: t.Version, Since: now.Add(-t.Age)})
 	}
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -152,9 +152,9 @@
 	assert.Equal(t, named.InForceUntil(4), now.Add(9*time.Second))
 }
 
-// TestRecalledNamings: a restarted host learns from others when weights were replaced, before or
+// TestMergedVersionAges: a restarted host learns from others when weights were replaced, before or
 // after it has read the newest version itself.
-func TestRecalledNamings(t *testing.T) {
+func TestMergedVersionAges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	other := New()
@@ -164,9 +164,13 @@
 	reported := other.Namings(now)
 	newest := Change{Weights: &Weights{Model: "m", Version: 4}}
 	for name, learn := range map[string]func(s *State){
-		"report first": func(s *State) { s.Recall(now, reported); s.Apply(now, newest, 2) },
-		"record first": func(s *State) { s.Apply(now, newest, 2); s.Recall(now, reported) },
-		"report twice": func(s *State) { s.Recall(now, reported); s.Apply(now, newest, 2); s.Recall(now, reported) },
+		"report first": func(s *State) { s.MergeVersionAges(now, reported); s.Apply(now, newest, 2) },
+		"record first": func(s *State) { s.Apply(now, newest, 2); s.MergeVersionAges(now, reported) },
+		"report twice": func(s *State) {
+			s.MergeVersionAges(now, reported)
+			s.Apply(now, newest, 2)
+			s.MergeVersionAges(now, reported)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
