--- a/conductor/operators.go
+++ b/conductor/operators.go
@@ -24,7 +24,7 @@
 	Leaving   bool
 	Open      int64
 	Version   uint64 // Version is that of the configuration in force; 0 if there is none.
-	Named     map[string]follower.Named
+	Named     map[string]follower.VersionHistory
 	Evacuated map[string]bool // Evacuated are availability zones whose upstreams get no new requests.
 	Hosts     []tracker.HostRecord
 	Upstreams []follower.Upstream
--- a/follower/state.go
+++ b/follower/state.go
@@ -19,9 +19,9 @@
 // State is the mutable state of one host's view. It is not safe for concurrent use.
 type State struct {
 	table            *matcher.Table
-	named            map[string]Named
-	peerNamings      map[string][]Named // peerNamings holds versions reported by other hosts, by model.
-	currentUntil     time.Time          // currentUntil is the time up to which the operators' feed is known.
+	named            map[string]VersionHistory
+	peerNamings      map[string][]VersionHistory // peerNamings holds versions reported by other hosts, by model.
+	currentUntil     time.Time                   // currentUntil is the time up to which the operators' feed is known.
 	evacuations      evacuations
 	upstreams        map[string]*entry
 	list             Upstreams            // list holds the upstreams of configured services, as last published.
@@ -43,8 +43,8 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		named:       make(map[string]Named),
-		peerNamings: make(map[string][]Named),
+		named:       make(map[string]VersionHistory),
+		peerNamings: make(map[string][]VersionHistory),
 		evacuations: make(evacuations),
 		upstreams:   make(map[string]*entry),
 		dirty:       make(map[string]*Upstream),
@@ -77,7 +77,7 @@
 		if s.named[c.Weights.Model].Version >= c.Weights.Version {
 			return false
 		}
-		next := s.named[c.Weights.Model].succeededBy(Named{Version: c.Weights.Version, Since: now, Earliest: s.currentUntil})
+		next := s.named[c.Weights.Model].succeededBy(VersionHistory{Version: c.Weights.Version, Since: now, Earliest: s.currentUntil})
 		s.named[c.Weights.Model] = next.merge(s.peerNamings[c.Weights.Model])
 		return true
 	case c.Evacuation != nil:
@@ -168,7 +168,7 @@
 	return namings(now, s.named)
 }
 
-func namings(now time.Time, named map[string]Named) []Naming {
+func namings(now time.Time, named map[string]VersionHistory) []Naming {
 	var out []Naming
 	for model, n := range named {
 		for _, b := range append(slices.Clone(n.previous), n) {
@@ -186,7 +186,7 @@
 // recently.
 func (s *State) MergeVersionAges(now time.Time, reported []Naming) bool {
 	for _, t := range reported {
-		s.peerNamings[t.Model] = append(s.peerNamings[t.Model], Named{Version: t.Version, Since: now.Add(-t.Age)})
+		s.peerNamings[t.Model] = append(s.peerNamings[t.Model], VersionHistory{Version: t.Version, Since: now.Add(-t.Age)})
 	}
 	changed := false
 	for _, t := range reported {
@@ -305,7 +305,7 @@
 // View is an immutable snapshot of the state, for handling requests.
 type View struct {
 	Table     *matcher.Table // Table is nil while no configuration is known.
-	Named     map[string]Named
+	Named     map[string]VersionHistory
 	Listed    bool // Listed reports whether a complete listing was applied; if not, Upstreams may lack some.
 	Upstreams Upstreams
 	// Evacuated holds the availability zones whose upstreams get no new requests, Returned the
--- a/follower/types.go
+++ b/follower/types.go
@@ -108,12 +108,12 @@
 	Version uint64
 }
 
-// Named is a weight version in force, with the time at which this host learned of it.
-type Named struct {
+// VersionHistory is a weight version in force, with the time at which this host learned of it.
+type VersionHistory struct {
 	Version  uint64
 	Since    time.Time
-	Earliest time.Time // Earliest is a time at which it was not in force yet; zero if none is known.
-	previous []Named   // previous holds earlier versions, oldest first.
+	Earliest time.Time        // Earliest is a time at which it was not in force yet; zero if none is known.
+	previous []VersionHistory // previous holds earlier versions, oldest first.
 }
 
 // maxPreviousVersions bounds the history. Engines are updated within seconds, so that few
@@ -121,7 +121,7 @@
 const maxPreviousVersions = 8
 
 // succeededBy returns next with n added to its history.
-func (n Named) succeededBy(next Named) Named {
+func (n VersionHistory) succeededBy(next VersionHistory) VersionHistory {
 	if n.Version == 0 {
 		return next
 	}
@@ -136,18 +136,18 @@
 
 // merge returns n with the history that another host reported, which may have learned of
 // versions sooner, or of ones that were replaced before this host started.
-func (n Named) merge(reported []Named) Named {
-	all := append(slices.Clone(n.previous), Named{Version: n.Version, Since: n.Since, Earliest: n.Earliest})
+func (n VersionHistory) merge(reported []VersionHistory) VersionHistory {
+	all := append(slices.Clone(n.previous), VersionHistory{Version: n.Version, Since: n.Since, Earliest: n.Earliest})
 	for _, t := range reported {
-		i := slices.IndexFunc(all, func(o Named) bool { return o.Version == t.Version })
+		i := slices.IndexFunc(all, func(o VersionHistory) bool { return o.Version == t.Version })
 		switch {
 		case i >= 0:
 			all[i].Since = earlierTime(all[i].Since, t.Since)
 		case t.Version < n.Version:
-			all = append(all, Named{Version: t.Version, Since: t.Since})
+			all = append(all, VersionHistory{Version: t.Version, Since: t.Since})
 		}
 	}
-	slices.SortFunc(all, func(a, b Named) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(all, func(a, b VersionHistory) int { return cmp.Compare(a.Version, b.Version) })
 	last := all[len(all)-1]
 	last.previous = all[:len(all)-1]
 	if over := len(last.previous) - maxPreviousVersions; over > 0 {
@@ -157,8 +157,8 @@
 }
 
 // equal reports whether n and o have the same version and history, Earliest aside.
-func (n Named) equal(o Named) bool {
-	equalVersion := func(a, b Named) bool { return a.Version == b.Version && a.Since.Equal(b.Since) }
+func (n VersionHistory) equal(o VersionHistory) bool {
+	equalVersion := func(a, b VersionHistory) bool { return a.Version == b.Version && a.Since.Equal(b.Since) }
 	return equalVersion(n, o) && slices.EqualFunc(n.previous, o.previous, equalVersion)
 }
 
@@ -178,7 +178,7 @@
 }
 
 // firstAfter returns the first version put in force that is later than the given one.
-func (n Named) firstAfter(version uint64) Named {
+func (n VersionHistory) firstAfter(version uint64) VersionHistory {
 	for _, b := range n.previous {
 		if b.Version > version {
 			return b
@@ -189,8 +189,8 @@
 
 // Replaced returns when this host learned that a version was replaced, which is when it
 // learned of the first later one.
-func (n Named) Replaced(version uint64) time.Time { return n.firstAfter(version).Since }
+func (n VersionHistory) Replaced(version uint64) time.Time { return n.firstAfter(version).Since }
 
 // InForceUntil returns a time at which a version had certainly not been replaced yet; zero if
 // none is known. Unlike Replaced it does not depend on how late this host learned of it.
-func (n Named) InForceUntil(version uint64) time.Time { return n.firstAfter(version).Earliest }
+func (n VersionHistory) InForceUntil(version uint64) time.Time { return n.firstAfter(version).Earliest }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -67,7 +67,7 @@
 	samples       []PaceSample         // samples are queued for the next report.
 	transfers     []Transfer           // transfers are queued for the next report.
 	placements    []Placement          // placements are queued for the next report.
-	named         map[string]follower.Named
+	named         map[string]follower.VersionHistory
 	newest        map[string]uint64    // newest is the newest weight version that any engine has of a model.
 	zoneReturns   map[string]time.Time // zoneReturns is when evacuated availability zones took traffic again.
 	coldHosts     coldHosts
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -27,7 +27,7 @@
 			{Name: "s1", Store: &matcher.Store{Address: "s1:1", CapacityTokens: 100000, LinkMbps: 50000}},
 			{Name: "s2", Store: &matcher.Store{Address: "s2:1", CapacityTokens: 100000, LinkMbps: 50000}},
 		}}),
-		Named: map[string]follower.Named{"m": {Version: named, Since: start.Add(-3 * time.Second)}},
+		Named: map[string]follower.VersionHistory{"m": {Version: named, Since: start.Add(-3 * time.Second)}},
 	}
 	var upstreams []follower.Upstream
 	for i := range n {
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -88,7 +88,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := testView(2, 2, 1, c.renewed)
-			v.Named = map[string]follower.Named{"m": {Version: 2, Since: start.Add(-c.age)}}
+			v.Named = map[string]follower.VersionHistory{"m": {Version: 2, Since: start.Add(-c.age)}}
 			p := testPlacer(v)
 			if c.busy {
 				p.targetByInstance("e1").peers = Work{Requests: 4, Memory: 59000}
--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -29,7 +29,7 @@
 
 func newFleet(engines int, ends func(load int) bool) *fleet {
 	f := &fleet{stepper: newStepper("a"), crashes: ends, due: make(map[string]time.Time)}
-	f.view = &follower.View{Named: map[string]follower.Named{"m": {Version: 2}}}
+	f.view = &follower.View{Named: map[string]follower.VersionHistory{"m": {Version: 2}}}
 	var upstreams []follower.Upstream
 	for i := range engines {
 		upstreams = append(upstreams, follower.Upstream{ID: fmt.Sprint("e", i), Standing: follower.StandingReady, Weights: map[string]uint64{"m": 1}})
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -231,7 +231,7 @@
 // staysUpToDate reports whether no engine has outdated weights, by examining only the engines that
 // changed since the last such view.
 func (r *Renewer) staysUpToDate(view *follower.View) bool {
-	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Named, view.Named, func(a, b follower.Named) bool {
+	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Named, view.Named, func(a, b follower.VersionHistory) bool {
 		return a.Version == b.Version
 	}) {
 		return false
