--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -49,7 +49,7 @@
 	receive(resumed, false)
 	receive(resumed+10*time.Millisecond, false, "2")
 	receive(resumed+20*time.Millisecond, false)
-	named := n.state.View().Named["m"]
+	named := n.state.View().Versions["m"]
 	assert.Equal(t, named.Version, uint64(2), "the content of delayed messages holds")
 	assert.Equal(t, named.InForceUntil(1), start.Add(lastOnTime))
 	receive(resumed+500*time.Millisecond, false)
--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -124,7 +124,7 @@
 	if !ok {
 		return true
 	}
-	named := view.Named[salt.Model]
+	named := view.Versions[salt.Model]
 	return salt.Weights >= named.Version || now.Sub(named.Replaced(salt.Weights)) < after
 }
 
--- a/conductor/operators.go
+++ b/conductor/operators.go
@@ -42,7 +42,7 @@
 		Ready:     h.Ready(),
 		Leaving:   h.Leaving(),
 		Open:      h.open.Load(),
-		Named:     view.Named,
+		Named:     view.Versions,
 		Evacuated: view.Evacuated,
 		Hosts:     *h.hosts.Load(),
 		Placement: h.placer.Dump(h.opts.Timer.Now()),
--- a/exchanger/waiting_bench_test.go
+++ b/exchanger/waiting_bench_test.go
@@ -23,7 +23,7 @@
 		Table: matcher.New(matcher.Parts{Services: []matcher.Service{
 			{Name: "s", Engine: &matcher.Engine{Slots: 64, CapacityTokens: 70000, BytesPerToken: 18432, LinkMbps: 740000}},
 		}}),
-		Named: map[string]follower.VersionHistory{"m": {Version: 1}},
+		Versions: map[string]follower.VersionHistory{"m": {Version: 1}},
 	}
 	var upstreams []follower.Upstream
 	for i := range 90 {
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -34,7 +34,7 @@
 			Workspaces: []matcher.Workspace{{Name: "w", Keys: []string{"key"}}},
 		}),
 		Upstreams: follower.ListOf(follower.Upstream{ID: "e", Service: "s", Standing: follower.StandingReady, Slots: 8}),
-		Named:     map[string]follower.VersionHistory{"m": {Version: 1}},
+		Versions:  map[string]follower.VersionHistory{"m": {Version: 1}},
 	}
 }
 
--- a/follower/state.go
+++ b/follower/state.go
@@ -179,7 +179,7 @@
 }
 
 // Namings returns the known weight versions of all models, including earlier ones.
-func (v *View) Namings(now time.Time) []Naming { return namings(now, v.Named) }
+func (v *View) Namings(now time.Time) []Naming { return namings(now, v.Versions) }
 
 // MergeVersionAges merges weight versions reported by another host and reports whether the view changes.
 // Without them a host that has just started would treat versions replaced long ago as replaced
@@ -305,7 +305,7 @@
 // View is an immutable snapshot of the state, for handling requests.
 type View struct {
 	Table     *matcher.Table // Table is nil while no configuration is known.
-	Named     map[string]VersionHistory
+	Versions  map[string]VersionHistory
 	Listed    bool // Listed reports whether a complete listing was applied; if not, Upstreams may lack some.
 	Upstreams Upstreams
 	// Evacuated holds the availability zones whose upstreams get no new requests, Returned the
@@ -350,7 +350,7 @@
 	return &View{
 		Table:     s.table,
 		Listed:    s.listed,
-		Named:     maps.Clone(s.named),
+		Versions:  maps.Clone(s.named),
 		Upstreams: s.list,
 		Evacuated: s.evacuations.evacuated(),
 		Returned:  s.evacuations.endTimes(),
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -107,10 +107,10 @@
 		assert.Equal(t, state.Table().Version(), c.want)
 	}
 	state.Apply(now, Change{Weights: &Weights{Model: "m", Version: 2}}, 1)
-	since := state.View().Named["m"].Since
+	since := state.View().Versions["m"].Since
 	state.Apply(now.Add(time.Second), Change{Weights: &Weights{Model: "m", Version: 2}}, 2)
 	state.Apply(now.Add(time.Second), Change{Weights: &Weights{Model: "m", Version: 1}}, 3)
-	got := state.View().Named["m"]
+	got := state.View().Versions["m"]
 	assert.Equal(t, got.Version, uint64(2))
 	assert.Equal(t, got.Since, since)
 }
@@ -123,7 +123,7 @@
 	for i, v := range []uint64{1, 2, 5} {
 		state.Apply(at(10*i), Change{Weights: &Weights{Model: "m", Version: v}}, int64(i))
 	}
-	named := state.View().Named["m"]
+	named := state.View().Versions["m"]
 	assert.Equal(t, named.Replaced(1), at(10))
 	assert.Equal(t, named.Replaced(2), at(20))
 	assert.Equal(t, named.Replaced(4), at(20))
@@ -138,16 +138,16 @@
 		s.Apply(at, Change{Weights: &Weights{Model: "m", Version: version}}, 0)
 	}
 	name(now, 3)
-	named := s.View().Named["m"]
+	named := s.View().Versions["m"]
 	assert.Assert(t, named.InForceUntil(2).IsZero(), "versions before the start are unknown")
 	s.Current(now)
 	name(now.Add(9*time.Second), 4) // after a network partition
-	named = s.View().Named["m"]
+	named = s.View().Versions["m"]
 	assert.Equal(t, named.InForceUntil(3), now)
 	assert.Equal(t, named.Replaced(3), now.Add(9*time.Second))
 	s.Current(now.Add(9 * time.Second))
 	name(now.Add(10*time.Second), 5)
-	named = s.View().Named["m"]
+	named = s.View().Versions["m"]
 	assert.Equal(t, named.InForceUntil(3), now)
 	assert.Equal(t, named.InForceUntil(4), now.Add(9*time.Second))
 }
@@ -175,7 +175,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := New()
 			learn(s)
-			named := s.View().Named["m"]
+			named := s.View().Versions["m"]
 			assert.Equal(t, named.Version, uint64(4))
 			assert.Equal(t, named.Replaced(2), ago(11*time.Second))
 			assert.Equal(t, named.Replaced(3), ago(2*time.Second))
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -27,7 +27,7 @@
 			{Name: "s1", Store: &matcher.Store{Address: "s1:1", CapacityTokens: 100000, LinkMbps: 50000}},
 			{Name: "s2", Store: &matcher.Store{Address: "s2:1", CapacityTokens: 100000, LinkMbps: 50000}},
 		}}),
-		Named: map[string]follower.VersionHistory{"m": {Version: named, Since: start.Add(-3 * time.Second)}},
+		Versions: map[string]follower.VersionHistory{"m": {Version: named, Since: start.Add(-3 * time.Second)}},
 	}
 	var upstreams []follower.Upstream
 	for i := range n {
@@ -200,7 +200,7 @@
 		state.Apply(start.Add(time.Duration(i-2)*9*time.Second), follower.Change{Weights: &follower.Weights{Model: "m", Version: v}}, int64(i))
 	}
 	v := testView(2, 3, 1, 2)
-	v.Named = state.View().Named
+	v.Versions = state.View().Versions
 	p := testPlacer(v)
 	p.targetByInstance("e1").own.Pending = 100000 // the engine with the newer weights has a long backlog
 	req := askFor("x", "own")
--- a/placer/progress_test.go
+++ b/placer/progress_test.go
@@ -31,7 +31,7 @@
 func TestRunningPrefillIsAwaited(t *testing.T) {
 	const within = 800 * time.Millisecond
 	v := testView(3, 1)
-	v.Named = nil // no weight version is named yet
+	v.Versions = nil // no weight version is named yet
 	a, b := testPlacer(v), testPlacer(v)
 	first, verdict := a.Choose(start, dueRequest(start, within, "x", "own"))
 	assert.Equal(t, verdict, Chosen, "no prefill is running")
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -51,7 +51,7 @@
 				if at >= c.learns {
 					name(now, 2)
 				}
-				v.Named = state.View().Named
+				v.Versions = state.View().Versions
 				p := testPlacer(v)
 				p.ApplyStoreChanges(now, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
 				p.SetFeedCurrent(start.Add(c.known))
@@ -88,7 +88,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := testView(2, 2, 1, c.renewed)
-			v.Named = map[string]follower.VersionHistory{"m": {Version: 2, Since: start.Add(-c.age)}}
+			v.Versions = map[string]follower.VersionHistory{"m": {Version: 2, Since: start.Add(-c.age)}}
 			p := testPlacer(v)
 			if c.busy {
 				p.targetByInstance("e1").peers = Work{Requests: 4, Memory: 59000}
--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -29,7 +29,7 @@
 
 func newFleet(engines int, ends func(load int) bool) *fleet {
 	f := &fleet{stepper: newStepper("a"), crashes: ends, due: make(map[string]time.Time)}
-	f.view = &follower.View{Named: map[string]follower.VersionHistory{"m": {Version: 2}}}
+	f.view = &follower.View{Versions: map[string]follower.VersionHistory{"m": {Version: 2}}}
 	var upstreams []follower.Upstream
 	for i := range engines {
 		upstreams = append(upstreams, follower.Upstream{ID: fmt.Sprint("e", i), Standing: follower.StandingReady, Weights: map[string]uint64{"m": 1}})
@@ -88,7 +88,7 @@
 		}
 		upstreams = append(upstreams, u)
 	}
-	f.view = &follower.View{Named: f.view.Named, Upstreams: follower.ListOf(upstreams...)}
+	f.view = &follower.View{Versions: f.view.Versions, Upstreams: follower.ListOf(upstreams...)}
 }
 
 // TestVersionThatEndsEngines checks that a version whose load always crashes ends few engines and is
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -88,7 +88,7 @@
 	for id, e := range s.engines {
 		upstreams = append(upstreams, follower.Upstream{ID: id, Standing: follower.StandingReady, Weights: map[string]uint64{"m": e.version}})
 	}
-	return &follower.View{Named: map[string]follower.VersionHistory{"m": {Version: s.named}}, Upstreams: follower.ListOf(upstreams...)}
+	return &follower.View{Versions: map[string]follower.VersionHistory{"m": {Version: s.named}}, Upstreams: follower.ListOf(upstreams...)}
 }
 
 func (s *sim) run(d time.Duration) {
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -206,10 +206,10 @@
 		present[u.ID] = true
 		for model, has := range u.Weights {
 			r.clearDoubt(model, has)
-			if u.Standing == follower.StandingReady && has < view.Named[model].Version && !behind[u.ID] {
+			if u.Standing == follower.StandingReady && has < view.Versions[model].Version && !behind[u.ID] {
 				lagging = append(lagging, *u)
 				behind[u.ID] = true
-				r.updateJob(now, u, model, view.Named[model].Version)
+				r.updateJob(now, u, model, view.Versions[model].Version)
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 // staysUpToDate reports whether no engine has outdated weights, by examining only the engines that
 // changed since the last such view.
 func (r *Renewer) staysUpToDate(view *follower.View) bool {
-	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Named, view.Named, func(a, b follower.VersionHistory) bool {
+	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Versions, view.Versions, func(a, b follower.VersionHistory) bool {
 		return a.Version == b.Version
 	}) {
 		return false
@@ -239,7 +239,7 @@
 	put, _ := view.Upstreams.Since(r.upToDate.Upstreams)
 	for _, u := range put {
 		for model, has := range u.Weights {
-			if has < view.Named[model].Version {
+			if has < view.Versions[model].Version {
 				return false
 			}
 			r.clearDoubt(model, has)
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -15,7 +15,7 @@
 // oneEngine returns a view with one engine that has one version while another is named.
 func oneEngine(has, named uint64) *follower.View {
 	return &follower.View{
-		Named:     map[string]follower.VersionHistory{"m": {Version: named}},
+		Versions:  map[string]follower.VersionHistory{"m": {Version: named}},
 		Upstreams: follower.ListOf(follower.Upstream{ID: "e0", Standing: follower.StandingReady, Weights: map[string]uint64{"m": has}}),
 	}
 }
