--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -39,7 +39,7 @@
 		return follower.Change{Upstream: up}, nil
 	}
 	if zone, ok := strings.CutPrefix(r.Key, "evacuate/"); ok {
-		return follower.Change{Evacuation: &follower.Evacuation{AvailabilityZone: zone, Over: text == ""}}, nil
+		return follower.Change{Evacuation: &follower.Evacuation{AvailabilityZone: zone, Ended: text == ""}}, nil
 	}
 	number, ok := strings.CutPrefix(text, "version ")
 	n, err := strconv.ParseUint(number, 10, 64)
--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -205,7 +205,7 @@
 	ev := LogEvent{Kind: LogRecordApplied, Feed: name, Key: r.Key, Offset: r.Offset}
 	if e := change.Evacuation; e != nil {
 		ev.Kind, ev.Key = LogZoneEvacuated, e.AvailabilityZone
-		if e.Over {
+		if e.Ended {
 			ev.Kind = LogEvacuationEnded
 		}
 	}
--- a/follower/evacuation.go
+++ b/follower/evacuation.go
@@ -9,7 +9,7 @@
 // new requests until the evacuation ends.
 type Evacuation struct {
 	AvailabilityZone string
-	Over             bool // Over reports that the evacuation has ended.
+	Ended            bool // Ended reports that the evacuation has ended.
 }
 
 // evacuations holds the latest evacuation of each availability zone that ever had one.
@@ -24,11 +24,11 @@
 // on, so that older ones are ignored.
 func (e evacuations) apply(now time.Time, ev Evacuation, offset int64) bool {
 	current, known := e[ev.AvailabilityZone]
-	if known && offset <= current.offset || !known && ev.Over {
+	if known && offset <= current.offset || !known && ev.Ended {
 		return false
 	}
 	updated := evacuation{offset: offset}
-	if ev.Over {
+	if ev.Ended {
 		updated.endedAt = now
 	}
 	e[ev.AvailabilityZone] = updated
