--- a/conductor/evacuation_test.go
+++ b/conductor/evacuation_test.go
@@ -62,7 +62,7 @@
 		}
 		c.run(evacuationBound)
 		c.wantUpstreams(t, "the other zone", "a@east")
-		assert.Assert(t, !last.node.view.Returned["east"].IsZero() || hosts == 1)
+		assert.Assert(t, !last.node.view.EvacuationsEnded["east"].IsZero() || hosts == 1)
 		c.write(follower.FeedOperator, "evacuate/west", "")
 		c.run(evacuationBound)
 		c.wantUpstreams(t, "taken back", "a@east", "b@west")
--- a/follower/state.go
+++ b/follower/state.go
@@ -308,10 +308,10 @@
 	Versions  map[string]VersionHistory
 	Listed    bool // Listed reports whether a complete listing was applied; if not, Upstreams may lack some.
 	Upstreams Upstreams
-	// Evacuated holds the availability zones whose upstreams get no new requests, Returned the
+	// Evacuated holds the availability zones whose upstreams get no new requests, EvacuationsEnded the
 	// times at which past evacuations ended.
-	Evacuated map[string]bool
-	Returned  map[string]time.Time
+	Evacuated        map[string]bool
+	EvacuationsEnded map[string]time.Time
 }
 
 // Takes reports whether an upstream accepts new requests.
@@ -348,11 +348,11 @@
 	s.list = s.list.With(s.dirty)
 	clear(s.dirty)
 	return &View{
-		Table:     s.table,
-		Listed:    s.listed,
-		Versions:  maps.Clone(s.named),
-		Upstreams: s.list,
-		Evacuated: s.evacuations.evacuated(),
-		Returned:  s.evacuations.endTimes(),
+		Table:            s.table,
+		Listed:           s.listed,
+		Versions:         maps.Clone(s.named),
+		Upstreams:        s.list,
+		Evacuated:        s.evacuations.evacuated(),
+		EvacuationsEnded: s.evacuations.endTimes(),
 	}
 }
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -137,7 +137,7 @@
 
 	v, p = fresh()
 	returned := *v
-	returned.Returned = map[string]time.Time{"zone0": start}
+	returned.EvacuationsEnded = map[string]time.Time{"zone0": start}
 	p.Update(&returned)
 	assert.Equal(t, countChosen(p, start.Add(2*time.Second)), part)
 	assert.Equal(t, countChosen(p, start.Add(3*time.Second)), 100)
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -121,7 +121,7 @@
 	defer p.mu.Unlock()
 	before := p.view
 	p.view = view
-	p.named, p.zoneReturns = view.Versions, view.Returned
+	p.named, p.zoneReturns = view.Versions, view.EvacuationsEnded
 	put, gone := view.Upstreams.Since(before.Upstreams)
 	for _, u := range put {
 		callbacks = append(callbacks, p.put(view, u)...)
