--- a/follower/state.go
+++ b/follower/state.go
@@ -314,8 +314,8 @@
 	EvacuationsEnded map[string]time.Time
 }
 
-// Takes reports whether an upstream accepts new requests.
-func (v *View) Takes(u *Upstream) bool {
+// Accepts reports whether an upstream accepts new requests.
+func (v *View) Accepts(u *Upstream) bool {
 	return u.Standing == StandingReady && !v.Evacuated[u.AvailabilityZone]
 }
 
@@ -323,7 +323,7 @@
 func (v *View) Taking(service string) []string {
 	var out []string
 	for u := range v.Upstreams.All() {
-		if u.Service == service && v.Takes(u) {
+		if u.Service == service && v.Accepts(u) {
 			out = append(out, u.ID)
 		}
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -136,7 +136,7 @@
 	}
 	if !maps.Equal(view.Evacuated, before.Evacuated) {
 		for _, m := range p.members {
-			p.setListed(m, view.Takes(m.upstream))
+			p.setListed(m, view.Accepts(m.upstream))
 		}
 	}
 	p.updateStores(view)
@@ -164,7 +164,7 @@
 		p.setListed(m, false)
 	}
 	m.upstream, m.sameZone = u, u.AvailabilityZone == p.opts.AvailabilityZone
-	p.setListed(m, view.Takes(u))
+	p.setListed(m, view.Accepts(u))
 	if m.target != nil {
 		p.configure(m.target)
 	}
