--- a/conductor/evacuation_test.go
+++ b/conductor/evacuation_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	for _, s := range c.nodes {
 		if !s.down {
-			got := s.node.view.Taking("s")
+			got := s.node.view.Accepting("s")
 			assert.Assert(t, slices.Equal(got, want), "%s, %s of %d: %v", when, s.name, len(c.nodes), got)
 		}
 	}
--- a/conductor/handover_test.go
+++ b/conductor/handover_test.go
@@ -49,9 +49,9 @@
 		c.write(follower.FeedUpstreams, "u91", "ready")
 		c.run(5 * time.Second) // a removal may count as a lapse for 2 s while the store refuses this host
 		for _, s := range c.nodes {
-			assert.Equal(t, len(s.node.view.Taking("s")), 50, s.name)
+			assert.Equal(t, len(s.node.view.Accepting("s")), 50, s.name)
 		}
-		assert.DeepEqual(t, last.node.view.Taking("s"), c.nodes[(victim+1)%3].node.view.Taking("s"))
+		assert.DeepEqual(t, last.node.view.Accepting("s"), c.nodes[(victim+1)%3].node.view.Accepting("s"))
 		assert.Equal(t, *listings, 0)
 	}
 }
--- a/conductor/node_test.go
+++ b/conductor/node_test.go
@@ -105,7 +105,7 @@
 	c.start(c.nodes[1])
 	c.run(time.Second)
 	assert.Equal(t, c.nodes[1].version, uint64(3))
-	assert.DeepEqual(t, c.nodes[1].node.view.Taking("s"), []string{"a"})
+	assert.DeepEqual(t, c.nodes[1].node.view.Accepting("s"), []string{"a"})
 }
 
 // TestRemovalAfterRefusal: after a store outage only one host reads, and the others hear from it.
@@ -129,7 +129,7 @@
 		c.write(follower.FeedUpstreams, "a", "")
 		c.run(2 * time.Second)
 		for _, s := range c.nodes {
-			assert.Equal(t, len(s.node.view.Taking("s")), 0, "%s, with %s back first", s.name, c.nodes[first].name)
+			assert.Equal(t, len(s.node.view.Accepting("s")), 0, "%s, with %s back first", s.name, c.nodes[first].name)
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	c.run(2 * time.Second)
 	for _, s := range c.nodes {
 		assert.Equal(t, s.version, uint64(1))
-		assert.DeepEqual(t, s.node.view.Taking("s"), []string{"b", "c"})
+		assert.DeepEqual(t, s.node.view.Accepting("s"), []string{"b", "c"})
 	}
 }
 
@@ -213,13 +213,13 @@
 		}
 		c.run(time.Second)
 		for _, s := range c.nodes {
-			assert.DeepEqual(t, s.node.view.Taking("s"), []string{"a"})
+			assert.DeepEqual(t, s.node.view.Accepting("s"), []string{"a"})
 			assert.Assert(t, s.unreadable > 0 && s.unreadable <= 4, "%s wrote %d lines", s.name, s.unreadable)
 		}
 		c.write(follower.FeedUpstreams, "b", "ready")
 		c.run(2 * time.Second)
 		for _, s := range c.nodes {
-			assert.DeepEqual(t, s.node.view.Taking("s"), []string{"a", "b"})
+			assert.DeepEqual(t, s.node.view.Accepting("s"), []string{"a", "b"})
 		}
 	}
 }
--- a/conductor/standby_test.go
+++ b/conductor/standby_test.go
@@ -96,7 +96,7 @@
 	c.write(follower.FeedUpstreams, "u3", "leaving")
 	c.run(time.Second)
 	for _, s := range c.nodes {
-		assert.Equal(t, len(s.node.view.Taking("s")), upstreams-1, s.name)
+		assert.Equal(t, len(s.node.view.Accepting("s")), upstreams-1, s.name)
 	}
 }
 
--- a/follower/state.go
+++ b/follower/state.go
@@ -319,8 +319,8 @@
 	return u.Standing == StandingReady && !v.Evacuated[u.AvailabilityZone]
 }
 
-// Taking returns the IDs of a service's upstreams that accept new requests.
-func (v *View) Taking(service string) []string {
+// Accepting returns the IDs of a service's upstreams that accept new requests.
+func (v *View) Accepting(service string) []string {
 	var out []string
 	for u := range v.Upstreams.All() {
 		if u.Service == service && v.Accepts(u) {
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -77,7 +77,7 @@
 				now = now.Add(s.After.Std())
 				s.apply(t, state, now)
 				view := state.View()
-				got := view.Taking("s")
+				got := view.Accepting("s")
 				assert.DeepEqual(t, append([]string{}, got...), append([]string{}, s.Want...))
 				if s.WantWeights > 0 {
 					assert.Equal(t, slices.Collect(view.Upstreams.All())[0].Weights["m"], s.WantWeights, fmt.Sprintf("step %d", i))
--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -138,7 +138,7 @@
 	}
 	for service, pl := range p.pools {
 		want := make(map[string]bool)
-		for _, id := range v.Taking(service) {
+		for _, id := range v.Accepting(service) {
 			want[id] = true
 		}
 		assert.Equal(t, len(pl.all), len(want))
