--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -79,7 +79,7 @@
 		n.emit(LogEvent{Kind: LogStoreBack, Feed: ev.Page.Feed, Age: now.Sub(f.currentAt)})
 	}
 	f.failing, f.failures = false, 0
-	n.state.Answered(now)
+	n.state.StoreAnswered(now)
 	asOf := coveredUntil(now, ev)
 	f.soleReader, f.heardPage = !ev.Page.Full && !f.heardPage, false
 	forwarded := n.applyPage(now, ev.Page, asOf)
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -236,7 +236,7 @@
 		}
 		if !news.Full && !news.FromMemory {
 			f.heardPage = true
-			n.state.Answered(now) // the store has answered another host, so it is reachable
+			n.state.StoreAnswered(now) // the store has answered another host, so it is reachable
 		}
 		n.applyPage(now, news, now.Add(-news.Age))
 	}
--- a/follower/doc.go
+++ b/follower/doc.go
@@ -19,7 +19,7 @@
 // # Usage
 //
 //	state := follower.New()
-//	state.Answered(now)                   // a call to the store succeeded
+//	state.StoreAnswered(now)              // a call to the store succeeded
 //	state.Apply(now, change, offset)      // apply a decoded record
 //	view := state.View()                  // immutable snapshot for request handling
 package follower
--- a/follower/state.go
+++ b/follower/state.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Answered records that a call to the store, by this host or another, has succeeded.
-func (s *State) Answered(now time.Time) {
+// StoreAnswered records that a call to the store, by this host or another, has succeeded.
+func (s *State) StoreAnswered(now time.Time) {
 	if s.storeFailing {
 		s.storeFailing, s.storeRecoveredAt = false, now
 	}
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -52,7 +52,7 @@
 	case "failed":
 		state.Failed()
 	case "answered":
-		state.Answered(now)
+		state.StoreAnswered(now)
 	case "expire":
 		state.Expire(now)
 	default:
