--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -113,7 +113,7 @@
 	f.failing = true
 	f.failures++
 	f.retryAt = now.Add(n.retryDelay(ev.Page.Feed, f.failures))
-	n.state.Failed()
+	n.state.StoreFailed()
 }
 
 // applyPage applies a page and returns the records to forward to other hosts.
--- a/follower/state.go
+++ b/follower/state.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Failed records that a call to the store has failed or was rejected.
-func (s *State) Failed() { s.storeFailing = true }
+// StoreFailed records that a call to the store has failed or was rejected.
+func (s *State) StoreFailed() { s.storeFailing = true }
 
 // StoreFailing reports whether the last call to the store failed.
 func (s *State) StoreFailing() bool { return s.storeFailing }
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -50,7 +50,7 @@
 	case "unreadable":
 		state.Drop(s.ID, s.Offset)
 	case "failed":
-		state.Failed()
+		state.StoreFailed()
 	case "answered":
 		state.StoreAnswered(now)
 	case "expire":
