--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -143,7 +143,7 @@
 	if asOf.After(f.currentAt) {
 		f.currentAt = asOf
 		if news.Feed == follower.FeedOperator {
-			n.state.Current(asOf)
+			n.state.SetCurrent(asOf)
 			n.emit(FeedCurrent{At: asOf})
 		}
 	}
--- a/follower/state.go
+++ b/follower/state.go
@@ -204,8 +204,8 @@
 	return changed
 }
 
-// Current records that the operators' feed is known up to a time. Earlier times are ignored.
-func (s *State) Current(at time.Time) {
+// SetCurrent records that the operators' feed is known up to a time. Earlier times are ignored.
+func (s *State) SetCurrent(at time.Time) {
 	if at.After(s.currentUntil) {
 		s.currentUntil = at
 	}
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -140,12 +140,12 @@
 	name(now, 3)
 	named := s.View().Versions["m"]
 	assert.Assert(t, named.InForceUntil(2).IsZero(), "versions before the start are unknown")
-	s.Current(now)
+	s.SetCurrent(now)
 	name(now.Add(9*time.Second), 4) // after a network partition
 	named = s.View().Versions["m"]
 	assert.Equal(t, named.InForceUntil(3), now)
 	assert.Equal(t, named.Replaced(3), now.Add(9*time.Second))
-	s.Current(now.Add(9 * time.Second))
+	s.SetCurrent(now.Add(9 * time.Second))
 	name(now.Add(10*time.Second), 5)
 	named = s.View().Versions["m"]
 	assert.Equal(t, named.InForceUntil(3), now)
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -42,7 +42,7 @@
 			}
 			if !c.started {
 				name(start.Add(-time.Hour), 1)
-				state.Current(start.Add(c.known))
+				state.SetCurrent(start.Add(c.known))
 			}
 			fetched := false
 			for at := time.Duration(0); at < 2*freeAfter; at += step {
