--- a/follower/state.go
+++ b/follower/state.go
@@ -211,9 +211,9 @@
 	}
 }
 
-// Renewed records that a start of an upstream has loaded a weight version, ahead of its entry in
+// WeightsLoaded records that a start of an upstream has loaded a weight version, ahead of its entry in
 // the feed. It reports whether that is new.
-func (s *State) Renewed(id string, born int64, model string, version uint64) bool {
+func (s *State) WeightsLoaded(id string, born int64, model string, version uint64) bool {
 	e := s.upstreams[id]
 	if e == nil || e.upstream.Born != born || e.upstream.Weights[model] >= version {
 		return false
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -46,7 +46,7 @@
 		}
 		state.Replace(now, listed, s.Offset)
 	case "renewed":
-		state.Renewed(s.ID, s.Born, "m", s.Weights)
+		state.WeightsLoaded(s.ID, s.Born, "m", s.Weights)
 	case "unreadable":
 		state.Drop(s.ID, s.Offset)
 	case "failed":
