--- a/conductor/record.go
+++ b/conductor/record.go
@@ -55,7 +55,7 @@
 func (h *Host) logUpstreamEnded(e exchanger.Ended) {
 	h.counters.upstreamEnded()
 	h.log.Failure().Str("RequestID", e.RequestID).Stringer("Identity", e.Identity).
-		Str("Upstream", e.Upstream.Start()).Msg(logger.UpstreamEnded)
+		Str("Upstream", e.Upstream.InstanceID()).Msg(logger.UpstreamEnded)
 }
 
 // logBarred logs a request that is sent to no upstream any more.
--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -50,7 +50,7 @@
 // request, and returns the result for placement.
 func (d *delivery) recordResult(ctx context.Context, u follower.Upstream, sent time.Time, r dispatcher.Result) placer.Result {
 	if d.upstreamEnded(ctx, u, r) {
-		d.opts.Quarantine.Ended(d.opts.Timer.Now(), d.outcome.Identity, u.Start(), sent)
+		d.opts.Quarantine.Ended(d.opts.Timer.Now(), d.outcome.Identity, u.InstanceID(), sent)
 		if d.opts.Ended != nil {
 			d.opts.Ended(Ended{RequestID: d.request.ID, Identity: d.outcome.Identity, Upstream: u})
 		}
@@ -58,9 +58,9 @@
 	}
 	switch {
 	case r.Failure != nil && r.Failure.NoListener:
-		d.opts.Quarantine.Gone(d.opts.Timer.Now(), u.Start())
+		d.opts.Quarantine.Gone(d.opts.Timer.Now(), u.InstanceID())
 	case d.abandoned(ctx, r):
-		d.opts.Quarantine.Left(d.opts.Timer.Now(), d.outcome.Identity, u.Start())
+		d.opts.Quarantine.Left(d.opts.Timer.Now(), d.outcome.Identity, u.InstanceID())
 		d.watcher.watch(u)
 	case d.succeeded(r):
 		d.opts.Quarantine.Served(d.opts.Timer.Now(), d.outcome.Identity)
--- a/exchanger/watch.go
+++ b/exchanger/watch.go
@@ -30,14 +30,14 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, watched := w.recheck[u.Start()]; watched {
-		w.recheck[u.Start()] = true
+	if _, watched := w.recheck[u.InstanceID()]; watched {
+		w.recheck[u.InstanceID()] = true
 		return
 	}
 	if w.recheck == nil {
 		w.recheck = make(map[string]bool)
 	}
-	w.recheck[u.Start()] = false
+	w.recheck[u.InstanceID()] = false
 	w.schedule(u)
 }
 
@@ -49,14 +49,14 @@
 // attempts were abandoned after this one was scheduled.
 func (w *watcher) check(u follower.Upstream) {
 	if w.opts.Gone(u.Address) {
-		w.opts.Quarantine.Gone(w.opts.Timer.Now(), u.Start())
+		w.opts.Quarantine.Gone(w.opts.Timer.Now(), u.InstanceID())
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.recheck[u.Start()] {
-		delete(w.recheck, u.Start())
+	if !w.recheck[u.InstanceID()] {
+		delete(w.recheck, u.InstanceID())
 		return
 	}
-	w.recheck[u.Start()] = false
+	w.recheck[u.InstanceID()] = false
 	w.schedule(u)
 }
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -245,5 +245,5 @@
 
 // instance returns the name of an engine's current instance.
 func (m *endsModel) instance(e *endsEngine) string {
-	return (&follower.Upstream{ID: e.id, Born: e.born}).Start()
+	return (&follower.Upstream{ID: e.id, Born: e.born}).InstanceID()
 }
--- a/follower/state.go
+++ b/follower/state.go
@@ -119,7 +119,7 @@
 	if u.Cold > 0 {
 		u.ColdUntil = now.Add(u.Cold) // an upper bound, as the entry was written earlier
 	}
-	u.start = u.Start()
+	u.instanceID = u.InstanceID()
 	u.Service, u.AvailabilityZone = unique.Make(u.Service).Value(), unique.Make(u.AvailabilityZone).Value()
 	e := s.upstreams[u.ID]
 	if e == nil {
--- a/follower/types.go
+++ b/follower/types.go
@@ -66,22 +66,22 @@
 	ColdUntil        time.Time         // ColdUntil is the end of its cold start as computed by State.
 	Weights          map[string]uint64 // Weights holds the weight version of each model.
 
-	start string // start caches the result of Start.
+	instanceID string // instanceID caches the result of Start.
 }
 
-// Start returns an identifier of this start of the upstream. State that is known of an earlier
+// InstanceID returns an identifier of this start of the upstream. State that is known of an earlier
 // start under the same ID does not apply to it: a restart loses the cache and all requests.
-func (u *Upstream) Start() string {
+func (u *Upstream) InstanceID() string {
 	switch {
 	case u.Born == 0:
 		return u.ID
-	case u.start != "":
-		return u.start
+	case u.instanceID != "":
+		return u.instanceID
 	}
 	return u.ID + startSeparator + strconv.FormatInt(u.Born, 36)
 }
 
-// IDOf returns the upstream's ID from an identifier returned by Start.
+// IDOf returns the upstream's ID from an identifier returned by InstanceID.
 func IDOf(start string) string {
 	if at := strings.LastIndex(start, startSeparator); at >= 0 {
 		return start[:at]
@@ -89,7 +89,7 @@
 	return start
 }
 
-// startSeparator separates the ID from the time in an identifier returned by Start.
+// startSeparator separates the ID from the time in an identifier returned by InstanceID.
 const startSeparator = "@"
 
 // Change is the decoded content of one record. At most one field is set; none is set if the
--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -61,7 +61,7 @@
 	for i := range 2000 {
 		c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i)))
 		assert.Equal(t, verdict, Chosen)
-		assert.Assert(t, work[c.Upstream.Start()].Requests == 0, c.Upstream.ID)
+		assert.Assert(t, work[c.Upstream.InstanceID()].Requests == 0, c.Upstream.ID)
 		assert.Assert(t, c.Basis.PrefillTokens <= 4000, "%d tokens are prefilled again", c.Basis.PrefillTokens)
 		c.Ticket.Done(start, ResultServed)
 	}
--- a/placer/exchange.go
+++ b/placer/exchange.go
@@ -23,7 +23,7 @@
 
 // Placement reports that an engine has prefilled a part.
 type Placement struct {
-	// Upstream is the engine's instance, as returned by follower.Upstream.Start.
+	// Upstream is the engine's instance, as returned by follower.Upstream.InstanceID.
 	Upstream string  `cbor:"1,keyasint"`
 	Key      PartKey `cbor:"2,keyasint"`
 	Tokens   int     `cbor:"3,keyasint"`
--- a/placer/pace.go
+++ b/placer/pace.go
@@ -55,7 +55,7 @@
 
 // PaceSample is one timed request at an engine.
 type PaceSample struct {
-	// Upstream is the engine's instance, as returned by follower.Upstream.Start.
+	// Upstream is the engine's instance, as returned by follower.Upstream.InstanceID.
 	Upstream string `cbor:"1,keyasint"`
 	// LogSlowdown is the natural logarithm of the ratio of the observed to the estimated time.
 	LogSlowdown float32 `cbor:"2,keyasint"`
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -147,7 +147,7 @@
 // put applies an upstream that is new or has changed, and returns the callbacks of requests in
 // flight at an earlier instance.
 func (p *Placer) put(view *follower.View, u *follower.Upstream) (callbacks []func()) {
-	instance := u.Start()
+	instance := u.InstanceID()
 	m := p.members[u.ID]
 	if m != nil && m.instance != instance {
 		if m.target != nil {
--- a/placer/pool.go
+++ b/placer/pool.go
@@ -13,7 +13,7 @@
 // member is a known upstream without load state. Load state takes much more memory and is created
 // on first use, since some hosts never need most of it.
 type member struct {
-	// instance identifies this start of the upstream, as returned by follower.Upstream.Start.
+	// instance identifies this start of the upstream, as returned by follower.Upstream.InstanceID.
 	instance  string
 	upstream  *follower.Upstream
 	hash      uint64
--- a/quarantiner/doc.go
+++ b/quarantiner/doc.go
@@ -24,6 +24,6 @@
 //	l := quarantiner.New(quarantiner.Options{Changed: spread})
 //	id := quarantiner.Identify(quarantiner.Parts{Workspace: "w", Host: h, Target: t, Body: b})
 //	if v := l.Standing(now, id); v.Standing == quarantiner.Barred { ... }
-//	l.Ended(now, id, upstream.Start(), sent)
+//	l.Ended(now, id, upstream.InstanceID(), sent)
 //	for _, w := range l.News(now) { ... } // for the other hosts, which call Hear
 package quarantiner
--- a/renewer/doubt.go
+++ b/renewer/doubt.go
@@ -73,7 +73,7 @@
 		d = &doubt{version: j.version}
 		r.doubts[j.model] = d
 	}
-	start := (&follower.Upstream{ID: id, Born: j.born}).Start()
+	start := (&follower.Upstream{ID: id, Born: j.born}).InstanceID()
 	if d.version != j.version || !d.add(start) {
 		return
 	}
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -267,7 +267,7 @@
 // work returns the orders and polls that are due.
 func (r *Renewer) work(now time.Time, in Input, lagging []follower.Upstream) []Command {
 	slices.SortStableFunc(lagging, func(a, b follower.Upstream) int {
-		return cmp.Or(cmp.Compare(in.Busy(a.Start()), in.Busy(b.Start())), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(in.Busy(a.InstanceID()), in.Busy(b.InstanceID())), cmp.Compare(a.ID, b.ID))
 	})
 	atOnce := max(r.opts.AtOnce, int(r.opts.Share*float64(countEngines(in.View))))
 	var out []Command
