--- a/follower/types.go
+++ b/follower/types.go
@@ -81,8 +81,8 @@
 	return u.ID + startSeparator + strconv.FormatInt(u.Born, 36)
 }
 
-// IDOf returns the upstream's ID from an identifier returned by InstanceID.
-func IDOf(start string) string {
+// UpstreamID returns the upstream's ID from an identifier returned by InstanceID.
+func UpstreamID(start string) string {
 	if at := strings.LastIndex(start, startSeparator); at >= 0 {
 		return start[:at]
 	}
--- a/placer/pool.go
+++ b/placer/pool.go
@@ -150,7 +150,7 @@
 	if t := p.targets[instance]; t != nil {
 		return t
 	}
-	for _, id := range []string{follower.IDOf(instance), instance} {
+	for _, id := range []string{follower.UpstreamID(instance), instance} {
 		if m := p.members[id]; m != nil && m.instance == instance {
 			return p.targetOf(m)
 		}
