--- a/conductor/hosts_test.go
+++ b/conductor/hosts_test.go
@@ -19,7 +19,7 @@
 			c.run(5 * time.Second)
 			last := c.nodes[hosts-1]
 			last.down = true
-			c.run(2 * DefaultTiming().Forget)
+			c.run(2 * DefaultTiming().ForgetAfter)
 			for _, s := range c.nodes[:hosts-1] {
 				_, known := s.node.hosts.Lookup(last.name)
 				assert.Assert(t, !known, s.name)
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -92,7 +92,7 @@
 		hosts: tracker.NewHosts(opts.Self, tracker.HostOptions{
 			Suspect:        opts.Timing.Suspect,
 			SuspectStandby: opts.Timing.SuspectStandby,
-			Forget:         opts.Timing.Forget,
+			ForgetAfter:    opts.Timing.ForgetAfter,
 			FullMesh:       activator.AllServe,
 		}),
 		feeds: map[follower.Feed]*feed{
--- a/conductor/seek_test.go
+++ b/conductor/seek_test.go
@@ -66,7 +66,7 @@
 			for _, s := range c.nodes[:hosts/2] {
 				c.partition[s.name] = true
 			}
-			c.run(2 * DefaultTiming().Forget)
+			c.run(2 * DefaultTiming().ForgetAfter)
 			for _, s := range c.nodes {
 				_, known := s.node.hosts.Lookup(c.nodes[hosts/2].name)
 				assert.Equal(t, known, !c.partition[s.name], s.name)
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -16,7 +16,7 @@
 	HeartbeatStandby time.Duration
 	SuspectStandby   time.Duration
 
-	Forget time.Duration // Forget is how long hosts that are gone are remembered.
+	ForgetAfter time.Duration // ForgetAfter is how long hosts that are gone are remembered.
 
 	Admit time.Duration // Admit is the interval between checks of waiting requests' deadlines.
 
@@ -49,7 +49,7 @@
 		HeartbeatStandby: time.Second,
 		SuspectStandby:   3500 * time.Millisecond,
 
-		Forget:       30 * time.Second,
+		ForgetAfter:  30 * time.Second,
 		Admit:        20 * time.Millisecond,
 		LongPoll:     700 * time.Millisecond,
 		TakeoverAge:  time.Second,
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -18,7 +18,7 @@
 	// SuspectStandby replaces Suspect where the neighbour or this host is a standby; default Suspect.
 	SuspectStandby time.Duration
 	GoneAfter      time.Duration // GoneAfter is the time from suspect to gone; default 3 Suspect.
-	Forget         time.Duration // Forget is how long records of gone hosts are kept; default 10 min.
+	ForgetAfter    time.Duration // ForgetAfter is how long records of gone hosts are kept; default 10 min.
 	Neighbours     int           // Neighbours is the number of neighbours in a large fleet; default 4.
 	FullMesh       int           // FullMesh is the number of hosts up to which all are neighbours; default 9.
 }
@@ -83,8 +83,8 @@
 	if opts.SuspectStandby == 0 {
 		opts.SuspectStandby = opts.Suspect
 	}
-	if opts.Forget == 0 {
-		opts.Forget = 10 * time.Minute
+	if opts.ForgetAfter == 0 {
+		opts.ForgetAfter = 10 * time.Minute
 	}
 	if opts.FullMesh == 0 {
 		opts.FullMesh = defaultFullMesh
@@ -268,7 +268,7 @@
 }
 
 // Tick suspects silent neighbours, declares suspected hosts gone after GoneAfter and removes the
-// records of gone hosts after Forget. It returns the records that must be forwarded.
+// records of gone hosts after ForgetAfter. It returns the records that must be forwarded.
 func (h *Hosts) Tick(now time.Time) []HostRecord {
 	var updates []HostRecord
 	for _, name := range slices.Clone(h.Neighbours()) {
@@ -292,7 +292,7 @@
 				updates = append(updates, h.setState(now, e, HostGone))
 			}
 		case HostGone:
-			if !stillListed && now.Sub(e.changedAt) > h.opts.Forget {
+			if !stillListed && now.Sub(e.changedAt) > h.opts.ForgetAfter {
 				h.drop(name)
 			}
 		case HostJoining:
