--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -56,7 +56,7 @@
 // the others.
 func (n *Node) neighboursByPace() (fast, slow []string) {
 	for _, h := range n.hosts.Neighbours() {
-		if n.hosts.Prompt(h) {
+		if n.hosts.FrequentHeartbeats(h) {
 			fast = append(fast, h)
 		} else {
 			slow = append(slow, h)
--- a/tracker/active.go
+++ b/tracker/active.go
@@ -14,22 +14,22 @@
 	if maps.Equal(h.active, active) {
 		return
 	}
-	before := h.promptNeighbours()
+	before := h.frequentNeighbours()
 	h.active = active
 	h.neighbourCache = nil
 	until := now.Add(activationGracePeriod)
-	for name := range h.promptNeighbours() {
+	for name := range h.frequentNeighbours() {
 		if e := h.records[name]; !before[name] && e.heardAt.Before(until) {
 			e.heardAt = until
 		}
 	}
 }
 
-// promptNeighbours returns the neighbours for which Prompt holds.
-func (h *Hosts) promptNeighbours() map[string]bool {
+// frequentNeighbours returns the neighbours for which Prompt holds.
+func (h *Hosts) frequentNeighbours() map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range h.Neighbours() {
-		if h.Prompt(name) {
+		if h.FrequentHeartbeats(name) {
 			out[name] = true
 		}
 	}
@@ -40,8 +40,8 @@
 // must reach both sides over a few hops before they send each other heartbeats.
 const activationGracePeriod = 1500 * time.Millisecond
 
-// Prompt reports whether a host is expected to send this one heartbeats at the short interval, which
+// FrequentHeartbeats reports whether a host is expected to send this one heartbeats at the short interval, which
 // active hosts do among each other.
-func (h *Hosts) Prompt(host string) bool {
+func (h *Hosts) FrequentHeartbeats(host string) bool {
 	return h.active == nil || h.active[host] && h.active[h.self.Host]
 }
--- a/tracker/active_test.go
+++ b/tracker/active_test.go
@@ -32,12 +32,12 @@
 	h.SetActive(now, active)
 	for name := range active {
 		assert.Equal(t, slices.Contains(h.Neighbours(), name), name != "host-0", name)
-		assert.Assert(t, h.Prompt(name))
+		assert.Assert(t, h.FrequentHeartbeats(name))
 	}
-	assert.Assert(t, !h.Prompt("host-50"))
+	assert.Assert(t, !h.FrequentHeartbeats("host-50"))
 	h.SetActive(now, map[string]bool{"host-7": true})
 	assert.Equal(t, len(h.Neighbours()), 4)
-	assert.Assert(t, !h.Prompt("host-7"))
+	assert.Assert(t, !h.FrequentHeartbeats("host-7"))
 }
 
 // TestSilentActiveHostIsSuspectedSooner: active hosts suspect a silent active host after the short
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -306,7 +306,7 @@
 
 // suspectTimeout returns the silence after which a neighbour is suspected.
 func (h *Hosts) suspectTimeout(host string) time.Duration {
-	if h.Prompt(host) {
+	if h.FrequentHeartbeats(host) {
 		return h.opts.Suspect
 	}
 	return h.opts.SuspectStandby
