--- a/tracker/host.go
+++ b/tracker/host.go
@@ -232,9 +232,9 @@
 	return first
 }
 
-// Unheard returns the neighbours without direct contact since this host started. They are known from
+// Uncontacted returns the neighbours without direct contact since this host started. They are known from
 // announcements or peers only and may not exist any more.
-func (h *Hosts) Unheard() map[string]bool {
+func (h *Hosts) Uncontacted() map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range h.Neighbours() {
 		if !h.records[name].contacted {
