--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.HostsUnread)
 	}
-	h.post(AnnouncementsRead{Hosts: h.decodeRecords(page.Cards), Next: page.Next, Err: err})
+	h.post(AnnouncementsRead{Hosts: h.decodeRecords(page.Records), Next: page.Next, Err: err})
 }
 
 // announce writes this host's announcement.
@@ -89,7 +89,7 @@
 		if next == "" {
 			ev.End = page.End
 		}
-		ev.Hosts = append(ev.Hosts, h.decodeRecords(page.Cards)...)
+		ev.Hosts = append(ev.Hosts, h.decodeRecords(page.Records)...)
 		if next = page.Next; next == "" {
 			ev.Complete = true
 			break
--- a/tracker/announcements.go
+++ b/tracker/announcements.go
@@ -5,7 +5,7 @@
 
 // Announcements is a page of the records that hosts have written to the store for discovery.
 type Announcements struct {
-	Cards map[string][]byte // Cards holds the encoded host records by name of the announcement.
-	Next  string            // Next is the name after which the next page begins; empty on the last page.
-	End   int64             // End is the offset after the newest announcement.
+	Records map[string][]byte // Records holds the encoded host records by name of the announcement.
+	Next    string            // Next is the name after which the next page begins; empty on the last page.
+	End     int64             // End is the offset after the newest announcement.
 }
