--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -93,7 +93,7 @@
 		listed[r.Host] = true
 	}
 	live := n.hosts.Live()
-	missing := min(introducer.Introducers, len(live))
+	missing := min(introducer.MinAnnouncements, len(live))
 	var others []string
 	for _, h := range live {
 		if listed[h] || h == n.opts.Self.Host {
--- a/conductor/seek_test.go
+++ b/conductor/seek_test.go
@@ -135,14 +135,14 @@
 // TestIntroducersAreReplenished: when most announcements are gone, hosts announce themselves until
 // there are as many introducers as starting hosts need, and no more.
 func TestIntroducersAreReplenished(t *testing.T) {
-	const live = 2 * introducer.Introducers
+	const live = 2 * introducer.MinAnnouncements
 	c := newCluster(live)
 	c.idle = true
 	for _, s := range c.nodes[:live-5] {
 		delete(c.announcements, s.name)
 	}
 	c.run(2 * firstSearchDelay)
-	assert.Equal(t, len(c.announcements), introducer.Introducers)
+	assert.Equal(t, len(c.announcements), introducer.MinAnnouncements)
 	changes := c.announcementsEnd
 	c.run(maxSearchInterval)
 	assert.Equal(t, c.announcementsEnd, changes)
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// Introducers is the number of announced hosts from which others need not announce themselves:
+	// MinAnnouncements is the number of announced hosts from which others need not announce themselves:
 	// enough to spread the first contacts of a large fleet over them.
-	Introducers = 48
+	MinAnnouncements = 48
 	// FirstSpread is the jitter of the first read of hosts that all start for the first time. Hosts that
-	// read before there are Introducers announcements append their own as well, so that it bounds the
+	// read before there are MinAnnouncements announcements append their own as well, so that it bounds the
 	// number of concurrent appends.
 	FirstSpread = time.Second
 	// contactTimeout is how long to wait for contact with announced hosts before the next page is read.
@@ -142,7 +142,7 @@
 			i.announced = true
 		}
 	}
-	i.announceNeeded = p.Next == "" && (others == 0 || i.pageStart == "" && others < Introducers)
+	i.announceNeeded = p.Next == "" && (others == 0 || i.pageStart == "" && others < MinAnnouncements)
 	i.hasRead, i.readIsFresh, i.backoff = true, true, 0
 	i.othersOnPage, i.lastPage, i.pageStart = others > 0, p.Next == "", p.Next
 	i.dueAt = now
--- a/introducer/introducer_test.go
+++ b/introducer/introducer_test.go
@@ -198,7 +198,7 @@
 			assert.Equal(t, f.countUncontacted(), 0)
 			assert.Assert(t, f.appends <= min(n, maxAppends), "%d appends", f.appends)
 			assert.Assert(t, f.reads <= 3*n, "%d reads", f.reads)
-			assert.Assert(t, len(f.announcements) >= min(n, Introducers), "%d announced", len(f.announcements))
+			assert.Assert(t, len(f.announcements) >= min(n, MinAnnouncements), "%d announced", len(f.announcements))
 		})
 	}
 }
@@ -208,7 +208,7 @@
 func TestHerdIsBack(t *testing.T) {
 	const n = 985
 	f := newFleet(n, false)
-	for i := range Introducers {
+	for i := range MinAnnouncements {
 		f.put(f.hosts[20*i].name, f.now)
 	}
 	f.run(time.Second)
@@ -250,7 +250,7 @@
 // TestIntroducersAreGone: hosts must announce themselves and get into contact if no announced host exists
 // any more.
 func TestIntroducersAreGone(t *testing.T) {
-	for _, gone := range []int{1, Introducers, 450} {
+	for _, gone := range []int{1, MinAnnouncements, 450} {
 		t.Run(fmt.Sprint(gone), func(t *testing.T) {
 			f := newFleet(gone+30, false)
 			for i := range gone {
