--- a/conductor/readers.go
+++ b/conductor/readers.go
@@ -95,7 +95,7 @@
 
 // discoveryTime is how long hosts that start for the first time wait to learn the size of the
 // fleet.
-const discoveryTime = introducer.FirstSpread + 700*time.Millisecond
+const discoveryTime = introducer.FirstReadJitter + 700*time.Millisecond
 
 // announcementsTimeout is how long a host that cannot read the announcements reads no feed. It
 // knows no peer and so ranks itself first for everything.
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -14,10 +14,10 @@
 	// MinAnnouncements is the number of announced hosts from which others need not announce themselves:
 	// enough to spread the first contacts of a large fleet over them.
 	MinAnnouncements = 48
-	// FirstSpread is the jitter of the first read of hosts that all start for the first time. Hosts that
+	// FirstReadJitter is the jitter of the first read of hosts that all start for the first time. Hosts that
 	// read before there are MinAnnouncements announcements append their own as well, so that it bounds the
 	// number of concurrent appends.
-	FirstSpread = time.Second
+	FirstReadJitter = time.Second
 	// contactTimeout is how long to wait for contact with announced hosts before the next page is read.
 	contactTimeout = 1500 * time.Millisecond
 	// maxAppendBackoff and maxReadBackoff bound the backoff after a failed call. Reads are cheap for the
@@ -65,7 +65,7 @@
 	othersOnPage   bool   // othersOnPage reports whether the last page had other hosts.
 	lastPage       bool   // lastPage reports whether no page follows it.
 	announceNeeded bool   // announceNeeded reports whether too few others are announced.
-	hasFailed      bool   // hasFailed reports whether a call failed since FirstSpread was last applied.
+	hasFailed      bool   // hasFailed reports whether a call failed since FirstReadJitter was last applied.
 	announced      bool
 	contacted      bool // contacted reports whether there was contact with another host.
 	done           bool
@@ -97,7 +97,7 @@
 	if i.dueAt.IsZero() {
 		i.dueAt = now
 		if i.opts.FirstStart {
-			i.dueAt = now.Add(i.randomBelow(FirstSpread))
+			i.dueAt = now.Add(i.randomBelow(FirstReadJitter))
 		}
 	}
 	if i.done || i.callPending || now.Before(i.dueAt) {
@@ -149,7 +149,7 @@
 	switch {
 	case i.announceNeeded && !i.announced && i.hasFailed:
 		// The store has recovered, and all hosts read it at the same time: read again with jitter.
-		i.hasFailed, i.readIsFresh, i.dueAt = false, false, now.Add(i.randomBelow(FirstSpread))
+		i.hasFailed, i.readIsFresh, i.dueAt = false, false, now.Add(i.randomBelow(FirstReadJitter))
 	case i.othersOnPage && (i.announced || !i.announceNeeded):
 		i.dueAt = now.Add(contactTimeout)
 	}
