--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -20,7 +20,7 @@
 		return
 	}
 	switch n.introducer.Next(now) {
-	case introducer.CallFind:
+	case introducer.CallRead:
 		n.emit(ReadAnnouncements{After: n.introducer.After()})
 	case introducer.CallAnnounce:
 		n.emit(Announce{})
@@ -33,7 +33,7 @@
 
 // handleAnnouncementsRead applies a page of announcements.
 func (n *Node) handleAnnouncementsRead(now time.Time, ev AnnouncementsRead) {
-	n.introducer.Found(now, introducer.Page{Hosts: ev.Hosts, Next: ev.Next}, ev.Err)
+	n.introducer.ReadDone(now, introducer.Page{Hosts: ev.Hosts, Next: ev.Next}, ev.Err)
 	if ev.Err != nil {
 		return
 	}
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -141,7 +141,7 @@
 	case AnnouncementsRead:
 		n.handleAnnouncementsRead(now, ev)
 	case Announced:
-		n.introducer.Announced(now, ev.Err)
+		n.introducer.AnnounceDone(now, ev.Err)
 	case AllAnnouncementsRead:
 		n.handleAllAnnouncementsRead(now, ev)
 	case WorkReported:
--- a/introducer/doc.go
+++ b/introducer/doc.go
@@ -20,11 +20,11 @@
 //
 //	in := introducer.New(introducer.Options{Host: name, Peers: address, Seed: seed})
 //	switch in.Next(now) {
-//	case introducer.CallFind:
+//	case introducer.CallRead:
 //		page, err := store.Announced(ctx, in.After())
-//		in.Found(now, introducer.Page{Hosts: hosts, Next: page.Next}, err)
+//		in.ReadDone(now, introducer.Page{Hosts: hosts, Next: page.Next}, err)
 //	case introducer.CallAnnounce:
-//		in.Announced(now, store.Announce(ctx, name, record))
+//		in.AnnounceDone(now, store.Announce(ctx, name, record))
 //	}
 //	in.Met() // another host was contacted
 package introducer
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -31,7 +31,7 @@
 
 const (
 	CallNone     Call = "None"
-	CallFind     Call = "Find"     // CallFind reads a page of announcements.
+	CallRead     Call = "Find"     // CallRead reads a page of announcements.
 	CallAnnounce Call = "Announce" // CallAnnounce writes this host's own announcement.
 )
 
@@ -92,7 +92,7 @@
 // Met records contact with another host, which makes this one known to the rest.
 func (i *Introducer) Met() { i.contacted = true }
 
-// Next returns the call that is due. Its result must be passed to Found or Announced.
+// Next returns the call that is due. Its result must be passed to ReadDone or AnnounceDone.
 func (i *Introducer) Next(now time.Time) Call {
 	if i.dueAt.IsZero() {
 		i.dueAt = now
@@ -113,7 +113,7 @@
 	case i.contacted && !i.announceNeeded:
 		return CallNone
 	case !i.readIsFresh:
-		return CallFind
+		return CallRead
 	case i.announceNeeded && !i.announced:
 		return CallAnnounce
 	case i.contacted:
@@ -123,11 +123,11 @@
 	case i.lastPage:
 		return CallNone
 	}
-	return CallFind
+	return CallRead
 }
 
-// Found handles the result of CallFind.
-func (i *Introducer) Found(now time.Time, p Page, err error) {
+// ReadDone handles the result of CallRead.
+func (i *Introducer) ReadDone(now time.Time, p Page, err error) {
 	i.callPending = false
 	if err != nil {
 		i.backOff(now, maxReadBackoff)
@@ -155,9 +155,9 @@
 	}
 }
 
-// Announced handles the result of CallAnnounce. A failed append may have succeeded in the store: the
+// AnnounceDone handles the result of CallAnnounce. A failed append may have succeeded in the store: the
 // announcements are read before it is repeated.
-func (i *Introducer) Announced(now time.Time, err error) {
+func (i *Introducer) AnnounceDone(now time.Time, err error) {
 	i.callPending, i.readIsFresh, i.pageStart = false, false, ""
 	if err != nil {
 		i.backOff(now, maxAppendBackoff)
--- a/introducer/introducer_test.go
+++ b/introducer/introducer_test.go
@@ -99,7 +99,7 @@
 		e.do()
 	}
 	switch h.introducer.Next(f.now) {
-	case CallFind:
+	case CallRead:
 		f.list(h)
 	case CallAnnounce:
 		f.announce(h)
@@ -111,7 +111,7 @@
 func (f *fleet) list(h *host) {
 	f.reads++
 	if f.storeDown {
-		h.schedule(f.now.Add(responseTime), func() { h.introducer.Found(f.now, Page{}, errRejected) })
+		h.schedule(f.now.Add(responseTime), func() { h.introducer.ReadDone(f.now, Page{}, errRejected) })
 		return
 	}
 	var p Page
@@ -126,7 +126,7 @@
 		p.Hosts = append(p.Hosts, tracker.HostRecord{Host: c.name, Peers: c.name})
 	}
 	h.schedule(f.now.Add(responseTime), func() {
-		h.introducer.Found(f.now, p, nil)
+		h.introducer.ReadDone(f.now, p, nil)
 		for _, r := range p.Hosts {
 			if i, _ := slices.BinarySearchFunc(f.hosts, r.Host, func(o *host, name string) int { return cmp.Compare(o.name, name) }); i < len(f.hosts) && r.Host != h.name && !f.hosts[i].gone {
 				f.contact(h, f.hosts[i])
@@ -155,17 +155,17 @@
 		free = f.now
 	}
 	if f.storeDown || free.Sub(f.now) > maxQueueTime {
-		h.schedule(f.now.Add(responseTime), func() { h.introducer.Announced(f.now, errRejected) })
+		h.schedule(f.now.Add(responseTime), func() { h.introducer.AnnounceDone(f.now, errRejected) })
 		return
 	}
 	f.partitionFreeAt = free.Add(appendTime)
 	f.put(h.name, f.partitionFreeAt)
 	took := f.partitionFreeAt.Sub(f.now)
 	if took > f.appendTimeout {
-		h.schedule(f.now.Add(f.appendTimeout), func() { h.introducer.Announced(f.now, errors.New("no answer")) })
+		h.schedule(f.now.Add(f.appendTimeout), func() { h.introducer.AnnounceDone(f.now, errors.New("no answer")) })
 		return
 	}
-	h.schedule(f.partitionFreeAt, func() { h.introducer.Announced(f.now, nil) })
+	h.schedule(f.partitionFreeAt, func() { h.introducer.AnnounceDone(f.now, nil) })
 }
 
 func (f *fleet) put(name string, at time.Time) {
