--- a/conductor/node.go
+++ b/conductor/node.go
@@ -110,7 +110,7 @@
 		zoneDeltas:    &placer.Report{},
 		uses:          make(map[string]hostUse),
 		introducer: introducer.New(introducer.Options{
-			Host: opts.Self.Host, Peers: opts.Self.Peers, FirstStart: opts.FirstStart, Again: opts.Timing.RetryDelay,
+			Host: opts.Self.Host, Peers: opts.Self.Peers, FirstStart: opts.FirstStart, InitialBackoff: opts.Timing.RetryDelay,
 			Seed: tracker.Rank(opts.Self.Host, "introducer") + opts.Self.Incarnation,
 		}),
 
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -46,9 +46,9 @@
 	Host  string // Host is this host's name.
 	Peers string // Peers is its address for other hosts.
 	// FirstStart reports whether all hosts start for the first time, so that none is announced yet.
-	FirstStart bool
-	Again      time.Duration // Again is the backoff after the first failed call; default 250 ms.
-	Seed       uint64        // Seed is that of the jitter; it must differ between hosts.
+	FirstStart     bool
+	InitialBackoff time.Duration // InitialBackoff is the backoff after the first failed call; default 250 ms.
+	Seed           uint64        // Seed is that of the jitter; it must differ between hosts.
 }
 
 // Introducer discovers the other hosts of the fleet for one host. It is not safe for concurrent use.
@@ -73,8 +73,8 @@
 
 // New returns an Introducer for a host that starts.
 func New(opts Options) *Introducer {
-	if opts.Again == 0 {
-		opts.Again = 250 * time.Millisecond
+	if opts.InitialBackoff == 0 {
+		opts.InitialBackoff = 250 * time.Millisecond
 	}
 	return &Introducer{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1))}
 }
@@ -169,7 +169,7 @@
 // backOff schedules the next call after a failed one, with exponential backoff and jitter.
 func (i *Introducer) backOff(now time.Time, maxBackoff time.Duration) {
 	i.hasFailed = true
-	i.backoff = min(max(2*i.backoff, i.opts.Again), maxBackoff/2)
+	i.backoff = min(max(2*i.backoff, i.opts.InitialBackoff), maxBackoff/2)
 	i.dueAt = now.Add(i.backoff + i.randomBelow(i.backoff))
 }
 
