--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -16,7 +16,7 @@
 
 // discover takes the next step of finding other hosts.
 func (n *Node) discover(now time.Time) {
-	if n.introducer.Over() {
+	if n.introducer.Done() {
 		return
 	}
 	switch n.introducer.Next(now) {
@@ -25,7 +25,7 @@
 	case introducer.CallAnnounce:
 		n.emit(Announce{})
 	case introducer.CallNone:
-		if n.introducer.Over() {
+		if n.introducer.Done() {
 			n.hostsDirty = true // a host that is alone learns so here
 		}
 	}
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -82,9 +82,9 @@
 // Read reports whether at least the first page of announcements was read.
 func (i *Introducer) Read() bool { return i.hasRead }
 
-// Over reports whether discovery has ended: another host was contacted, or all announcements were
+// Done reports whether discovery has ended: another host was contacted, or all announcements were
 // read without one.
-func (i *Introducer) Over() bool { return i.done }
+func (i *Introducer) Done() bool { return i.done }
 
 // After returns the name after which the next page begins; empty for the first page.
 func (i *Introducer) After() string { return i.pageStart }
--- a/introducer/introducer_test.go
+++ b/introducer/introducer_test.go
@@ -267,7 +267,7 @@
 func TestAlone(t *testing.T) {
 	f := newFleet(1, false)
 	f.run(time.Second)
-	assert.Assert(t, f.hosts[0].introducer.Over())
+	assert.Assert(t, f.hosts[0].introducer.Done())
 	assert.Equal(t, f.appends, 1)
 	assert.Equal(t, f.reads, 2)
 }
