--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -111,7 +111,7 @@
 
 func (n *Node) handlePeerMessage(now time.Time, ev PeerMessage) {
 	m := ev.Message
-	n.introducer.Met()
+	n.introducer.Contacted()
 	n.hostsDirty = n.hosts.Heard(now, ev.From) || n.hostsDirty
 	if n.arrivals.mayBeStale(now, ev.From) {
 		m = m.WithFeedPages(withUnknownAge(m.FeedPages))
--- a/introducer/doc.go
+++ b/introducer/doc.go
@@ -26,5 +26,5 @@
 //	case introducer.CallAnnounce:
 //		in.AnnounceDone(now, store.Announce(ctx, name, record))
 //	}
-//	in.Met() // another host was contacted
+//	in.Contacted() // another host was contacted
 package introducer
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -89,8 +89,8 @@
 // After returns the name after which the next page begins; empty for the first page.
 func (i *Introducer) After() string { return i.pageStart }
 
-// Met records contact with another host, which makes this one known to the rest.
-func (i *Introducer) Met() { i.contacted = true }
+// Contacted records contact with another host, which makes this one known to the rest.
+func (i *Introducer) Contacted() { i.contacted = true }
 
 // Next returns the call that is due. Its result must be passed to ReadDone or AnnounceDone.
 func (i *Introducer) Next(now time.Time) Call {
--- a/introducer/introducer_test.go
+++ b/introducer/introducer_test.go
@@ -140,7 +140,7 @@
 func (f *fleet) contact(a, b *host) {
 	for _, h := range []*host{a, b} {
 		h.schedule(f.now.Add(contactDelay), func() {
-			h.introducer.Met()
+			h.introducer.Contacted()
 			if h.contactedAt.IsZero() {
 				h.contactedAt = f.now
 			}
