--- a/conductor/readers.go
+++ b/conductor/readers.go
@@ -52,7 +52,7 @@
 // awaitsPeers reports whether a host that has just started should wait for its peers to send the
 // feeds. This keeps a starting fleet from reading the whole listing once per host.
 func (n *Node) awaitsPeers(now time.Time) bool {
-	if !n.introducer.Read() && !n.introducer.Done() {
+	if !n.introducer.HasRead() && !n.introducer.Done() {
 		return now.Sub(n.firstEvent) < announcementsTimeout
 	}
 	since, t := n.foundAt, n.topology()
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -79,8 +79,8 @@
 	return &Introducer{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1))}
 }
 
-// Read reports whether at least the first page of announcements was read.
-func (i *Introducer) Read() bool { return i.hasRead }
+// HasRead reports whether at least the first page of announcements was read.
+func (i *Introducer) HasRead() bool { return i.hasRead }
 
 // Done reports whether discovery has ended: another host was contacted, or all announcements were
 // read without one.
--- a/introducer/introducer_test.go
+++ b/introducer/introducer_test.go
@@ -230,7 +230,7 @@
 	f.storeDown = false
 	f.run(time.Second/2 + 2*responseTime)
 	for _, h := range f.hosts {
-		assert.Assert(t, h.introducer.Read(), h.name)
+		assert.Assert(t, h.introducer.HasRead(), h.name)
 	}
 	f.run(2500 * time.Millisecond)
 	assert.Equal(t, f.countUncontacted(), 0)
