--- a/activator/select.go
+++ b/activator/select.go
@@ -10,9 +10,9 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// AllServe is the number of live hosts up to which all are active, so that the rate of load
+// MaxAllActive is the number of live hosts up to which all are active, so that the rate of load
 // reports between them stays low.
-const AllServe = 16
+const MaxAllActive = 16
 
 const (
 	// minActivePerZone is the least number of active hosts of an availability zone: when one
@@ -61,7 +61,7 @@
 			live++
 		}
 	}
-	out := Selection{All: live <= AllServe, Zones: make(map[string][]string, len(zones))}
+	out := Selection{All: live <= MaxAllActive, Zones: make(map[string][]string, len(zones))}
 	if !out.All {
 		out.Active = make(map[string]bool)
 	}
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -93,7 +93,7 @@
 			Suspect:        opts.Timing.Suspect,
 			SuspectStandby: opts.Timing.SuspectStandby,
 			ForgetAfter:    opts.Timing.ForgetAfter,
-			FullMesh:       activator.AllServe,
+			FullMesh:       activator.MaxAllActive,
 		}),
 		feeds: map[follower.Feed]*feed{
 			follower.FeedOperator:  newFeed(),
--- a/conductor/quarantine_test.go
+++ b/conductor/quarantine_test.go
@@ -52,7 +52,7 @@
 				c.run(100 * time.Millisecond)
 			}
 			c.run(time.Second)
-			if hosts <= activator.AllServe {
+			if hosts <= activator.MaxAllActive {
 				assert.Equal(t, c.countBarred(id), hosts-1)
 			}
 			c.run(3 * time.Second) // in a large fleet the paused host may be a relay
