--- a/activator/select.go
+++ b/activator/select.go
@@ -31,7 +31,7 @@
 // Selection is the set of active hosts.
 type Selection struct {
 	All    bool                // All reports whether every live host is active.
-	Zones  map[string][]string // Zones holds the active hosts by availability zone, in order of Larger.
+	Zones  map[string][]string // Zones holds the active hosts by availability zone, in order of CompareCapacity.
 	Active map[string]bool     // Active holds the same hosts as a set; nil if All is set.
 }
 
@@ -66,7 +66,7 @@
 		out.Active = make(map[string]bool)
 	}
 	for zone, members := range zones {
-		slices.SortFunc(members, Larger)
+		slices.SortFunc(members, CompareCapacity)
 		n := len(members)
 		if !out.All {
 			n = requiredHosts(members, use[zone])
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Larger compares hosts by cores and bandwidth, in descending order, and equal ones by rank.
-func Larger(a, b tracker.HostRecord) int {
+// CompareCapacity compares hosts by cores and bandwidth, in descending order, and equal ones by rank.
+func CompareCapacity(a, b tracker.HostRecord) int {
 	return cmp.Or(
 		cmp.Compare(cores(b), cores(a)),
 		cmp.Compare(b.LinkMbps, a.LinkMbps),
@@ -91,7 +91,7 @@
 }
 
 // requiredHosts returns how many hosts of an availability zone can carry its use in equal
-// shares. members are in order of Larger.
+// shares. members are in order of CompareCapacity.
 func requiredHosts(members []tracker.HostRecord, use float64) int {
 	if use <= 0 {
 		for _, r := range members {
