--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -51,7 +51,7 @@
 	} else {
 		f.listingRequests++
 	}
-	n.send(host, &messenger.Message{Lacks: map[follower.Feed]int64{name: from}})
+	n.send(host, &messenger.Message{FeedRequests: map[follower.Feed]int64{name: from}})
 }
 
 // requestListing asks a ready host of this zone for a whole feed, rather than waiting until a
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -123,7 +123,7 @@
 	n.mergeHosts(now, ev.From, m.Hosts)
 	n.notifySuspect(ev.From)
 	n.answerWants(ev.From, m.Wants)
-	n.sendMissing(now, ev.From, m.Lacks)
+	n.sendMissing(now, ev.From, m.FeedRequests)
 	n.receivePages(now, m.FeedPages)
 	if len(m.Namings) > 0 {
 		n.viewDirty = n.state.MergeVersionAges(now, m.Namings) || n.viewDirty
