--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -217,7 +217,7 @@
 	if !c.idle {
 		r.Work["engine"] = placer.Work{Requests: 1}
 	}
-	return WorkReported{Report: r, Use: c.use}
+	return WorkReported{Report: r, CoresInUse: c.use}
 }
 
 // answerReads completes the node's pending reads that are due.
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -61,9 +61,9 @@
 
 // WorkReported is this host's load report for the others.
 type WorkReported struct {
-	Report placer.Report
-	Urgent bool    // Urgent marks a report sent between two intervals, for a long prompt.
-	Use    float64 // Use is the number of processor cores in use by this host.
+	Report     placer.Report
+	Urgent     bool    // Urgent marks a report sent between two intervals, for a long prompt.
+	CoresInUse float64 // CoresInUse is the number of processor cores in use by this host.
 }
 
 // RenewalEnd is the result of a renewer's command.
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -27,7 +27,7 @@
 	h.placer.ExpireReports(now)
 	h.reportMu.Lock()
 	defer h.reportMu.Unlock()
-	h.post(WorkReported{Report: h.placer.Report(), Use: h.cpu.cores(now)})
+	h.post(WorkReported{Report: h.placer.Report(), CoresInUse: h.cpu.cores(now)})
 }
 
 // signalCapacity signals that upstreams may have room for waiting requests.
--- a/conductor/reports.go
+++ b/conductor/reports.go
@@ -39,7 +39,7 @@
 	if n.skipIdleReport(r) {
 		return
 	}
-	direct := &messenger.Message{Report: &r, Use: ev.Use}
+	direct := &messenger.Message{Report: &r, CoresInUse: ev.CoresInUse}
 	if !ev.Urgent {
 		direct.Offsets = n.feedOffsets()
 	}
@@ -52,7 +52,7 @@
 		n.sendAll([]string{t.relay}, "", direct)
 	}
 	if !r.Partial {
-		n.recordOwnUse(now, t, ev.Use)
+		n.recordOwnUse(now, t, ev.CoresInUse)
 	}
 	if !t.directReports && t.isRelay(n.opts.Self.Host) {
 		n.addToSum(now, n.opts.Self.Host, r)
@@ -168,7 +168,7 @@
 	switch m.Zone {
 	case "":
 		if r.Work != nil && !r.Partial {
-			n.recordUse(now, from, m.Use)
+			n.recordUse(now, from, m.CoresInUse)
 		}
 		if r.Work != nil && !t.small && !t.directReports && t.isRelay(n.opts.Self.Host) {
 			n.addToSum(now, from, r)
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -295,7 +295,7 @@
 	})
 	m.handleEvery(h, conductor.DefaultTiming().Tick, func() conductor.Event { return conductor.Tick{} })
 	m.handleEvery(h, fleetReportInterval, func() conductor.Event {
-		return conductor.WorkReported{Report: placer.Report{Work: map[string]placer.Work{}}, Use: fleetCoresInUse}
+		return conductor.WorkReported{Report: placer.Report{Work: map[string]placer.Work{}}, CoresInUse: fleetCoresInUse}
 	})
 }
 
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -48,7 +48,7 @@
 	Namings      []follower.Naming        `cbor:"26,keyasint,omitempty"` // Namings holds the known weight versions.
 	Buckets      []uint64                 `cbor:"28,keyasint,omitempty"` // Buckets requests the hosts of buckets whose digests differ.
 	FeedRequests map[follower.Feed]int64  `cbor:"29,keyasint,omitempty"` // FeedRequests requests feeds from an offset on; below 0 for all.
-	Use          float64                  `cbor:"27,keyasint,omitempty"` // Use is the sender's number of cores in use; with Report.
+	CoresInUse   float64                  `cbor:"27,keyasint,omitempty"` // CoresInUse is the sender's number of cores in use; with Report.
 	// Ended holds updates on requests during which upstreams have failed; EndedDigest is the digest
 	// of all of them that the sender knows, sent with Digest.
 	Ended       []quarantiner.Word  `cbor:"30,keyasint,omitempty"`
