--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -53,13 +53,13 @@
 		StoreReports: h.placer.StoreReports,
 		Quarantine:   h.quarantine,
 		Renewer: renewer.Options{
-			Host:   s.Host,
-			Term:   h.opts.Timing.LeaseTerm,
-			Turn:   s.Platform.Lease.Std(),
-			Margin: h.opts.Timing.LeaseMargin,
-			AtOnce: s.Platform.LoadsAtOnce,
-			Share:  s.Platform.LoadsShare,
-			Seed:   self.Incarnation,
+			Host:        s.Host,
+			Term:        h.opts.Timing.LeaseTerm,
+			HandoverGap: s.Platform.Lease.Std(),
+			Margin:      h.opts.Timing.LeaseMargin,
+			AtOnce:      s.Platform.LoadsAtOnce,
+			Share:       s.Platform.LoadsShare,
+			Seed:        self.Incarnation,
 		},
 	})
 }
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -286,7 +286,7 @@
 		},
 		Decoder: fleetDecoder{}, Timing: conductor.DefaultTiming(), FirstStart: first,
 		Renewer: renewer.Options{
-			Host: h.name, Term: time.Second, Turn: 3 * time.Second, Margin: 200 * time.Millisecond, AtOnce: 3,
+			Host: h.name, Term: time.Second, HandoverGap: 3 * time.Second, Margin: 200 * time.Millisecond, AtOnce: 3,
 			Seed: m.rng.Uint64(),
 		},
 		Busy:         func(string) int { return 0 },
--- a/renewer/lease.go
+++ b/renewer/lease.go
@@ -121,11 +121,11 @@
 		r.notBefore = l.orderFrom
 		return
 	case l.newest.Record.Host == r.opts.Host:
-		r.notBefore = r.started.Add(r.opts.Turn + r.opts.Margin)
+		r.notBefore = r.started.Add(r.opts.HandoverGap + r.opts.Margin)
 		return
 	}
 	l.prior = l.newest
-	r.notBefore = l.firstSeen.Add(r.opts.Term + r.opts.Turn + r.opts.Margin)
+	r.notBefore = l.firstSeen.Add(r.opts.Term + r.opts.HandoverGap + r.opts.Margin)
 }
 
 // LeaseWritten processes the result of WriteLease. conflict reports that another record was written
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -80,7 +80,7 @@
 func (s *sim) start(h *simHost) {
 	h.starts++
 	h.down = false
-	h.renewer = New(Options{Host: h.name, Term: 2 * time.Second, Turn: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3, Seed: h.starts * 1e6})
+	h.renewer = New(Options{Host: h.name, Term: 2 * time.Second, HandoverGap: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3, Seed: h.starts * 1e6})
 }
 
 func (s *sim) view() *follower.View {
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -14,13 +14,13 @@
 
 // Options configure a Renewer.
 type Options struct {
-	Host   string
-	Term   time.Duration // Term is how long a hold lasts without renewal.
-	Turn   time.Duration // Turn is the minimum time between orders of two hosts to one engine.
-	Margin time.Duration // Margin covers timer delays and clock drift.
-	AtOnce int           // AtOnce is the minimum number of engines that may load concurrently.
-	Share  float64       // Share is the fraction of all engines that may load concurrently, if that is more.
-	Seed   uint64        // Seed is the start of the write nonces; it must differ between process starts.
+	Host        string
+	Term        time.Duration // Term is how long a hold lasts without renewal.
+	HandoverGap time.Duration // HandoverGap is the minimum time between orders of two hosts to one engine.
+	Margin      time.Duration // Margin covers timer delays and clock drift.
+	AtOnce      int           // AtOnce is the minimum number of engines that may load concurrently.
+	Share       float64       // Share is the fraction of all engines that may load concurrently, if that is more.
+	Seed        uint64        // Seed is the start of the write nonces; it must differ between process starts.
 }
 
 const (
@@ -337,7 +337,7 @@
 		return false
 	}
 	last, ok := r.othersOrders[id]
-	return !ok || now.Sub(last) > r.opts.Turn+r.opts.Margin
+	return !ok || now.Sub(last) > r.opts.HandoverGap+r.opts.Margin
 }
 
 // OrderResult is the outcome of an order.
--- a/renewer/status.go
+++ b/renewer/status.go
@@ -43,7 +43,7 @@
 	for _, orders := range []map[string]time.Time{r.ownOrders, r.othersOrders} {
 		for id, at := range orders {
 			age := now.Sub(at)
-			if age > r.opts.Turn+r.opts.Margin {
+			if age > r.opts.HandoverGap+r.opts.Margin {
 				delete(orders, id)
 				continue
 			}
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -30,7 +30,7 @@
 func newStepper(host string) *stepper {
 	return &stepper{
 		now: time.Unix(1000, 0),
-		r:   New(Options{Host: host, Term: time.Second, Turn: simTurn, Margin: 200 * time.Millisecond, AtOnce: 3, Seed: 10}),
+		r:   New(Options{Host: host, Term: time.Second, HandoverGap: simTurn, Margin: 200 * time.Millisecond, AtOnce: 3, Seed: 10}),
 	}
 }
 
