--- a/conductor/events.go
+++ b/conductor/events.go
@@ -72,7 +72,7 @@
 	Lease    renewer.Lease       // Lease is the answer to ReadLease.
 	Conflict bool                // Conflict reports that WriteLease found another record.
 	Result   renewer.OrderResult // Result is the answer to Order.
-	Busy     bool                // Busy and Version are the answer to Ask.
+	Busy     bool                // Busy and Version are the answer to QueryVersion.
 	Version  uint64
 	Err      error
 }
--- a/conductor/host.go
+++ b/conductor/host.go
@@ -55,8 +55,8 @@
 // Engines sends orders to engines.
 type Engines interface {
 	Order(ctx context.Context, holder string, o renewer.Order) renewer.OrderResult
-	// Ask reports whether an engine is carrying out an order, and its version of a model.
-	Ask(ctx context.Context, a renewer.Ask) (busy bool, version uint64, err error)
+	// QueryVersion reports whether an engine is carrying out an order, and its version of a model.
+	QueryVersion(ctx context.Context, a renewer.QueryVersion) (busy bool, version uint64, err error)
 }
 
 // Edge serves callers in the platform's protocol.
--- a/conductor/orders.go
+++ b/conductor/orders.go
@@ -34,10 +34,10 @@
 		h.counters.order(ev.Result)
 		h.log.Info().Str("Upstream", c.Upstream.ID).Str("Model", c.Model).Uint64("Version", c.Version).
 			Uint64("Token", c.Token).Str("Result", string(ev.Result)).Msg(logger.OrderGiven)
-	case renewer.Ask:
+	case renewer.QueryVersion:
 		ctx, cancel := context.WithTimeout(h.ctx, orderTimeout)
 		defer cancel()
-		ev.Busy, ev.Version, ev.Err = h.opts.Engines.Ask(ctx, c)
+		ev.Busy, ev.Version, ev.Err = h.opts.Engines.QueryVersion(ctx, c)
 	}
 	h.post(ev)
 }
--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -73,7 +73,7 @@
 		n.renewer.LeaseWritten(now, c, ev.Conflict, ev.Err)
 	case renewer.Order:
 		n.handleCommands(now, n.renewer.Ordered(now, c, ev.Result))
-	case renewer.Ask:
+	case renewer.QueryVersion:
 		n.handleCommands(now, n.renewer.Told(now, c, ev.Busy, ev.Version, ev.Err))
 	}
 }
--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -65,7 +65,7 @@
 			f.due[c.Upstream.ID] = f.now.Add(loadTime)
 		}
 		f.r.Ordered(f.now, c, OrderAccepted)
-	case Ask:
+	case QueryVersion:
 		_, busy := f.due[c.Upstream.ID]
 		f.r.Told(f.now, c, busy, c.Upstream.Weights["m"], nil)
 	}
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -154,7 +154,7 @@
 			s.write(h, c)
 		case Order:
 			s.order(h, c)
-		case Ask:
+		case QueryVersion:
 			e := s.engines[c.Upstream.ID]
 			s.execute(h, h.renewer.Told(s.now, c, e.loading > 0, e.version, nil))
 		}
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -56,8 +56,8 @@
 	Token    uint64 // Token is the fencing token; it grows with each change of holder.
 }
 
-// Ask queries an engine for its weight versions.
-type Ask struct {
+// QueryVersion queries an engine for its weight versions.
+type QueryVersion struct {
 	Upstream follower.Upstream
 	Model    string
 }
@@ -78,12 +78,12 @@
 	Pause   time.Duration // Pause is how long no engine is ordered to load it.
 }
 
-func (ReadLease) command()  {}
-func (WriteLease) command() {}
-func (Order) command()      {}
-func (Ask) command()        {}
-func (Renewed) command()    {}
-func (Doubted) command()    {}
+func (ReadLease) command()    {}
+func (WriteLease) command()   {}
+func (Order) command()        {}
+func (QueryVersion) command() {}
+func (Renewed) command()      {}
+func (Doubted) command()      {}
 
 // Status is the state that a host sends to the others.
 type Status struct {
@@ -283,7 +283,7 @@
 		loading++
 		if !j.inFlight && now.Sub(j.orderedAt) > initialPollDelay && now.Sub(j.polledAt) > pollInterval {
 			j.inFlight, j.polledAt = true, now
-			out = append(out, Ask{Upstream: u, Model: j.model})
+			out = append(out, QueryVersion{Upstream: u, Model: j.model})
 		}
 		if now.After(j.retryAt) {
 			j.loading = false
@@ -370,8 +370,8 @@
 	return nil
 }
 
-// Told processes an engine's answer to Ask.
-func (r *Renewer) Told(now time.Time, a Ask, busy bool, version uint64, err error) []Command {
+// Told processes an engine's answer to QueryVersion.
+func (r *Renewer) Told(now time.Time, a QueryVersion, busy bool, version uint64, err error) []Command {
 	j := r.jobs[a.Upstream.ID]
 	if j == nil || j.born != a.Upstream.Born {
 		return nil
