--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -74,6 +74,6 @@
 	case renewer.Order:
 		n.handleCommands(now, n.renewer.Ordered(now, c, ev.Result))
 	case renewer.QueryVersion:
-		n.handleCommands(now, n.renewer.Told(now, c, ev.Busy, ev.Version, ev.Err))
+		n.handleCommands(now, n.renewer.VersionReported(now, c, ev.Busy, ev.Version, ev.Err))
 	}
 }
--- a/renewer/doc.go
+++ b/renewer/doc.go
@@ -27,7 +27,7 @@
 //		case renewer.ReadLease: ... // then r.LeaseRead
 //		case renewer.WriteLease: ... // then r.LeaseWritten
 //		case renewer.Order: ... // then r.Ordered
-//		case renewer.QueryVersion: ... // then r.Told
+//		case renewer.QueryVersion: ... // then r.VersionReported
 //		case renewer.Renewed: ... // the engine has new weights
 //		}
 //	}
--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -67,7 +67,7 @@
 		f.r.Ordered(f.now, c, OrderAccepted)
 	case QueryVersion:
 		_, busy := f.due[c.Upstream.ID]
-		f.r.Told(f.now, c, busy, c.Upstream.Weights["m"], nil)
+		f.r.VersionReported(f.now, c, busy, c.Upstream.Weights["m"], nil)
 	}
 }
 
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -156,7 +156,7 @@
 			s.order(h, c)
 		case QueryVersion:
 			e := s.engines[c.Upstream.ID]
-			s.execute(h, h.renewer.Told(s.now, c, e.loading > 0, e.version, nil))
+			s.execute(h, h.renewer.VersionReported(s.now, c, e.loading > 0, e.version, nil))
 		}
 	}
 }
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -370,8 +370,8 @@
 	return nil
 }
 
-// Told processes an engine's answer to QueryVersion.
-func (r *Renewer) Told(now time.Time, a QueryVersion, busy bool, version uint64, err error) []Command {
+// VersionReported processes an engine's answer to QueryVersion.
+func (r *Renewer) VersionReported(now time.Time, a QueryVersion, busy bool, version uint64, err error) []Command {
 	j := r.jobs[a.Upstream.ID]
 	if j == nil || j.born != a.Upstream.Born {
 		return nil
