--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -72,7 +72,7 @@
 	case renewer.WriteLease:
 		n.renewer.LeaseWritten(now, c, ev.Conflict, ev.Err)
 	case renewer.Order:
-		n.handleCommands(now, n.renewer.Ordered(now, c, ev.Result))
+		n.handleCommands(now, n.renewer.OrderAnswered(now, c, ev.Result))
 	case renewer.QueryVersion:
 		n.handleCommands(now, n.renewer.VersionReported(now, c, ev.Busy, ev.Version, ev.Err))
 	}
--- a/renewer/doc.go
+++ b/renewer/doc.go
@@ -26,7 +26,7 @@
 //		switch c := c.(type) {
 //		case renewer.ReadLease: ... // then r.LeaseRead
 //		case renewer.WriteLease: ... // then r.LeaseWritten
-//		case renewer.Order: ... // then r.Ordered
+//		case renewer.Order: ... // then r.OrderAnswered
 //		case renewer.QueryVersion: ... // then r.VersionReported
 //		case renewer.Renewed: ... // the engine has new weights
 //		}
--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -64,7 +64,7 @@
 		if _, busy := f.due[c.Upstream.ID]; !busy {
 			f.due[c.Upstream.ID] = f.now.Add(loadTime)
 		}
-		f.r.Ordered(f.now, c, OrderAccepted)
+		f.r.OrderAnswered(f.now, c, OrderAccepted)
 	case QueryVersion:
 		_, busy := f.due[c.Upstream.ID]
 		f.r.VersionReported(f.now, c, busy, c.Upstream.Weights["m"], nil)
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -190,14 +190,14 @@
 	switch {
 	case e.slow:
 		e.pending, e.due = append(e.pending, o), s.now.Add(4*time.Second)
-		h.renewer.Ordered(s.now, o, OrderUnknown)
+		h.renewer.OrderAnswered(s.now, o, OrderUnknown)
 	case e.version >= o.Version:
-		s.execute(h, h.renewer.Ordered(s.now, o, OrderHolds))
+		s.execute(h, h.renewer.OrderAnswered(s.now, o, OrderHolds))
 	case e.loading > 0:
-		h.renewer.Ordered(s.now, o, OrderAccepted)
+		h.renewer.OrderAnswered(s.now, o, OrderAccepted)
 	default:
 		e.loading, e.until = o.Version, s.now.Add(900*time.Millisecond)
-		h.renewer.Ordered(s.now, o, OrderAccepted)
+		h.renewer.OrderAnswered(s.now, o, OrderAccepted)
 	}
 }
 
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -350,8 +350,8 @@
 	OrderUnknown  OrderResult = "Unknown" // OrderUnknown means that no answer was received.
 )
 
-// Ordered processes the answer to an order.
-func (r *Renewer) Ordered(now time.Time, o Order, result OrderResult) []Command {
+// OrderAnswered processes the answer to an order.
+func (r *Renewer) OrderAnswered(now time.Time, o Order, result OrderResult) []Command {
 	j := r.jobs[o.Upstream.ID]
 	if j == nil || j.born != o.Upstream.Born {
 		return nil // the engine has restarted since the order
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -59,7 +59,7 @@
 	a, b := newStepper("a"), newStepper("b")
 	orders := a.collectOrders(3*simTick, oneEngine(1, 2)) // read the lease, write it, order
 	assert.Equal(t, len(orders), 1)
-	a.r.Ordered(a.now, orders[0], OrderHolds)
+	a.r.OrderAnswered(a.now, orders[0], OrderHolds)
 	b.now = a.now
 	for range 30 {
 		a.collectOrders(simTick, oneEngine(2, 2))
