--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -130,7 +130,7 @@
 	a.run(5 * time.Second)
 	b := newStepper("b")
 	b.now = a.now
-	b.r.Heard(b.now, a.r.Status(a.now))
+	b.r.HandleStatus(b.now, a.r.Status(a.now))
 	assert.Assert(t, !b.r.loadAllowed(b.now, "m", 2, 0))
 	assert.Assert(t, b.r.loadAllowed(b.now, "m", 3, 0))
 	assert.Assert(t, b.r.loadAllowed(b.now.Add(initialPause), "m", 2, 0))
--- a/renewer/handover_test.go
+++ b/renewer/handover_test.go
@@ -54,12 +54,12 @@
 	r := New(Options{Host: "a", Term: 2 * time.Second, HandoverGap: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3})
 	r.wasHeld = true
 	other := Lease{Record: Record{Host: "b", Nonce: 7}, End: 9}
-	r.Heard(now, &Status{Lease: other, Holding: true})
+	r.HandleStatus(now, &Status{Lease: other, Holding: true})
 	st := r.Status(now)
 	assert.Assert(t, st != nil && !st.Stopped)
 	third := New(Options{Host: "c", Term: 2 * time.Second, HandoverGap: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3})
-	third.Heard(now, &Status{Lease: other, Holding: true})
-	third.Heard(now, st)
+	third.HandleStatus(now, &Status{Lease: other, Holding: true})
+	third.HandleStatus(now, st)
 	assert.Assert(t, !third.lease.released)
 }
 
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -136,7 +136,7 @@
 func (s *sim) broadcast(from *simHost, st *Status) {
 	for _, h := range s.hosts {
 		if h != from && !h.down && !h.paused && !h.noPeers && !from.noPeers {
-			h.renewer.Heard(s.now, st)
+			h.renewer.HandleStatus(s.now, st)
 		}
 	}
 }
--- a/renewer/status.go
+++ b/renewer/status.go
@@ -55,8 +55,8 @@
 	return out
 }
 
-// Heard processes the status of another host.
-func (r *Renewer) Heard(now time.Time, s *Status) {
+// HandleStatus processes the status of another host.
+func (r *Renewer) HandleStatus(now time.Time, s *Status) {
 	r.observeLease(now, s.Lease)
 	r.mergeDoubts(now, s.Doubts)
 	if s.Holding {
--- a/renewer/status_test.go
+++ b/renewer/status_test.go
@@ -14,12 +14,12 @@
 func TestPhases(t *testing.T) {
 	r := New(Options{Host: "a"})
 	now := time.Unix(1000, 0)
-	r.Heard(now, &Status{Holding: true, Loading: []string{"e1", "e2"}, Next: []string{"e3"}})
+	r.HandleStatus(now, &Status{Holding: true, Loading: []string{"e1", "e2"}, Next: []string{"e3"}})
 	assert.DeepEqual(t, r.Phases(now), map[string]Phase{"e1": PhaseLoading, "e2": PhaseLoading, "e3": PhaseNext})
 	now = now.Add(100 * time.Millisecond)
-	r.Heard(now, &Status{Holding: true, Loading: []string{"e2", "e3"}})
+	r.HandleStatus(now, &Status{Holding: true, Loading: []string{"e2", "e3"}})
 	assert.DeepEqual(t, r.Phases(now), map[string]Phase{"e2": PhaseLoading, "e3": PhaseLoading})
-	r.Heard(now, &Status{Loading: []string{"e4"}}) // ignored: the sender does not hold the lease
+	r.HandleStatus(now, &Status{Loading: []string{"e4"}}) // ignored: the sender does not hold the lease
 	assert.Equal(t, len(r.Phases(now)), 2)
 	assert.Equal(t, len(r.Phases(now.Add(2*statusTTL))), 0)
 }
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -65,7 +65,7 @@
 		a.collectOrders(simTick, oneEngine(2, 2))
 		b.now = a.now
 		if st := a.r.Status(a.now); st != nil {
-			b.r.Heard(b.now, st)
+			b.r.HandleStatus(b.now, st)
 		}
 	}
 	assert.Assert(t, b.r.lease.released, "the hold has ended and that was said")
@@ -95,7 +95,7 @@
 		b.collectOrders(simTick, oneEngine(2, 2))
 		c.now = b.now
 		if st := b.r.Status(b.now); st != nil {
-			c.r.Heard(c.now, st)
+			c.r.HandleStatus(c.now, st)
 		}
 	}
 	assert.Assert(t, c.r.lease.released)
