--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -16,7 +16,7 @@
 
 // renew runs the renewer's next step.
 func (n *Node) renew(now time.Time) {
-	n.handleCommands(now, n.renewer.Step(now, renewer.Input{View: n.view, Place: n.renewerPlace(),
+	n.handleCommands(now, n.renewer.Step(now, renewer.Input{View: n.view, HostIndex: n.renewerPlace(),
 		Busy: n.opts.Busy}))
 	if phases := n.renewer.Phases(now); !maps.Equal(phases, n.phases) {
 		n.phases = phases
--- a/renewer/doc.go
+++ b/renewer/doc.go
@@ -22,7 +22,7 @@
 // # Usage
 //
 //	r := renewer.New(renewer.Options{Host: "host-1", Term: 2 * time.Second, HandoverGap: 3 * time.Second})
-//	for _, c := range r.Step(now, renewer.Input{View: view, Place: 0}) {
+//	for _, c := range r.Step(now, renewer.Input{View: view, HostIndex: 0}) {
 //		switch c := c.(type) {
 //		case renewer.ReadLease: ... // then r.LeaseRead
 //		case renewer.WriteLease: ... // then r.LeaseWritten
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -104,7 +104,7 @@
 					place++
 				}
 			}
-			s.execute(h, h.renewer.Step(s.now, Input{View: s.view(), Place: place, Busy: func(string) int { return 0 }}))
+			s.execute(h, h.renewer.Step(s.now, Input{View: s.view(), HostIndex: place, Busy: func(string) int { return 0 }}))
 			if st := h.renewer.Status(s.now); st != nil {
 				s.broadcast(h, st)
 			}
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -100,9 +100,9 @@
 
 // Input is the external state that Step depends on.
 type Input struct {
-	View  *follower.View
-	Place int                    // Place is this host's index among the live hosts.
-	Busy  func(start string) int // Busy returns the number of requests at an engine instance.
+	View      *follower.View
+	HostIndex int                    // HostIndex is this host's index among the live hosts.
+	Busy      func(start string) int // Busy returns the number of requests at an engine instance.
 }
 
 // job is the state of an engine that is to load a version.
@@ -168,7 +168,7 @@
 	if len(lagging) == 0 {
 		r.laggingSince = time.Time{}
 		clear(r.jobs)
-		if in.Place < maxIdleReaders && !r.lease.known && !r.lease.inFlight && now.Sub(r.lease.lastCall) > r.opts.Term {
+		if in.HostIndex < maxIdleReaders && !r.lease.known && !r.lease.inFlight && now.Sub(r.lease.lastCall) > r.opts.Term {
 			// An expired record must have been seen for a whole term; reading it early saves that wait.
 			r.lease.inFlight, r.lease.lastCall = true, now
 			return []Command{ReadLease{}}
@@ -179,7 +179,7 @@
 		r.laggingSince = now
 	}
 	if !r.held(now) {
-		if now.Sub(r.laggingSince) < time.Duration(in.Place)*placeDelay || now.Sub(r.holderSeen) < holderTimeout {
+		if now.Sub(r.laggingSince) < time.Duration(in.HostIndex)*placeDelay || now.Sub(r.holderSeen) < holderTimeout {
 			return nil
 		}
 		return r.acquire(now)
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -108,7 +108,7 @@
 func TestLeaseIsReadByFew(t *testing.T) {
 	for place := range 3 * maxIdleReaders {
 		r := New(Options{Host: "a", Term: time.Second})
-		commands := r.Step(time.Unix(1000, 0), Input{View: &follower.View{}, Place: place})
+		commands := r.Step(time.Unix(1000, 0), Input{View: &follower.View{}, HostIndex: place})
 		assert.Equal(t, len(commands) > 0, place < maxIdleReaders, "place %d", place)
 	}
 }
