--- a/conductor/host.go
+++ b/conductor/host.go
@@ -61,7 +61,7 @@
 
 // Edge serves callers in the platform's protocol.
 type Edge interface {
-	Callers() http.Handler
+	RequestHandler() http.Handler
 	ReadyHandler() http.Handler
 	Directory() http.Handler
 }
@@ -192,7 +192,7 @@
 		endpoint loader.Endpoint
 		handler  http.Handler
 	}{
-		{s.Callers, edge.Callers()},
+		{s.Callers, edge.RequestHandler()},
 		{s.Platform.Ready, edge.ReadyHandler()},
 		{s.Platform.Directory, edge.Directory()},
 		{s.Peers, h.messenger.Handler()},
