--- a/conductor/host.go
+++ b/conductor/host.go
@@ -63,7 +63,7 @@
 type Edge interface {
 	RequestHandler() http.Handler
 	ReadyHandler() http.Handler
-	Directory() http.Handler
+	DirectoryHandler() http.Handler
 }
 
 // Options configures a Host.
@@ -194,7 +194,7 @@
 	}{
 		{s.Callers, edge.RequestHandler()},
 		{s.Platform.Ready, edge.ReadyHandler()},
-		{s.Platform.Directory, edge.Directory()},
+		{s.Platform.Directory, edge.DirectoryHandler()},
 		{s.Peers, h.messenger.Handler()},
 		{s.Operators, h.operators()},
 	} {
