--- a/conductor/bars.go
+++ b/conductor/bars.go
@@ -27,8 +27,8 @@
 
 // savedBar is a bar as it is stored.
 type savedBar struct {
-	Word quarantiner.Word `cbor:"1,keyasint"`
-	At   int64            `cbor:"2,keyasint"` // At is when it was saved, in Unix milliseconds.
+	Entry quarantiner.Entry `cbor:"1,keyasint"`
+	At    int64             `cbor:"2,keyasint"` // At is when it was saved, in Unix milliseconds.
 }
 
 // savedBars tracks which bars are saved. The zero value is ready to use.
@@ -62,8 +62,8 @@
 	b.saved[id] = true
 }
 
-func (h *Host) saveBar(w quarantiner.Word) bool {
-	value, err := codec.Marshal(savedBar{Word: w, At: time.Now().UnixMilli()})
+func (h *Host) saveBar(w quarantiner.Entry) bool {
+	value, err := codec.Marshal(savedBar{Entry: w, At: time.Now().UnixMilli()})
 	if err != nil {
 		panic("conductor: bar cannot be encoded: " + err.Error())
 	}
@@ -74,20 +74,20 @@
 }
 
 // restore returns the saved bars.
-func (b *savedBars) restore(h *Host, saved map[string][]byte) []quarantiner.Word {
-	var words []quarantiner.Word
+func (b *savedBars) restore(h *Host, saved map[string][]byte) []quarantiner.Entry {
+	var words []quarantiner.Entry
 	for key, value := range saved {
 		id, ok := parseBarKey(key)
 		if !ok || len(value) == 0 {
 			continue
 		}
 		var n savedBar
-		if err := codec.Unmarshal(value, &n); err != nil || n.Word.Identity != id {
+		if err := codec.Unmarshal(value, &n); err != nil || n.Entry.Identity != id {
 			h.log.Warn().AnErr("Failure", err).Str("Key", key).Msg(logger.BarUnread)
 			continue
 		}
-		n.Word.Age = max(0, n.Word.Age) + max(0, time.Since(time.UnixMilli(n.At)))
-		words = append(words, n.Word)
+		n.Entry.Age = max(0, n.Entry.Age) + max(0, time.Since(time.UnixMilli(n.At)))
+		words = append(words, n.Entry)
 		b.add(id)
 	}
 	return words
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -91,7 +91,7 @@
 type QuarantineChanged struct{}
 
 // QuarantineRestored holds the bars that earlier hosts saved.
-type QuarantineRestored struct{ Words []quarantiner.Word }
+type QuarantineRestored struct{ Entries []quarantiner.Entry }
 
 // DrainStarted reports that this host is about to end.
 type DrainStarted struct{}
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -158,8 +158,8 @@
 	case QuarantineChanged:
 		n.broadcastQuarantine()
 	case QuarantineRestored:
-		n.opts.Quarantine.Hear(now, ev.Words)
-		n.broadcast(&messenger.Message{Ended: ev.Words})
+		n.opts.Quarantine.Hear(now, ev.Entries)
+		n.broadcast(&messenger.Message{Ended: ev.Entries})
 	case DrainStarted:
 		n.markLeaving()
 	}
--- a/conductor/notes.go
+++ b/conductor/notes.go
@@ -45,7 +45,7 @@
 		h.post(NamingsRestored{Namings: namings})
 	}
 	if words := n.bars.restore(h, saved); len(words) > 0 {
-		h.post(QuarantineRestored{Words: words})
+		h.post(QuarantineRestored{Entries: words})
 	}
 	return true
 }
--- a/conductor/operators.go
+++ b/conductor/operators.go
@@ -29,9 +29,9 @@
 	Hosts     []tracker.HostRecord
 	Upstreams []follower.Upstream
 	Placement placer.Dump
-	Barred    []quarantiner.Word // Barred are requests that are sent to no upstream any more.
-	Repeated  []quarantiner.Word // Repeated are requests under which several upstreams have ended.
-	Suspects  int                // Suspects counts requests under which upstreams have ended.
+	Barred    []quarantiner.Entry // Barred are requests that are sent to no upstream any more.
+	Repeated  []quarantiner.Entry // Repeated are requests under which several upstreams have ended.
+	Suspects  int                 // Suspects counts requests under which upstreams have ended.
 }
 
 // Dump returns the current state of the host.
@@ -47,7 +47,7 @@
 		Hosts:     *h.hosts.Load(),
 		Placement: h.placer.Dump(h.opts.Timer.Now()),
 		Barred:    h.quarantine.Bars(h.opts.Timer.Now()),
-		Repeated:  h.quarantine.Words(h.opts.Timer.Now()),
+		Repeated:  h.quarantine.Entries(h.opts.Timer.Now()),
 		Suspects:  h.quarantine.Len(),
 	}
 	for u := range view.Upstreams.All() {
--- a/conductor/quarantine.go
+++ b/conductor/quarantine.go
@@ -65,7 +65,7 @@
 	}
 	if now.Sub(d.since) >= quarantineSettleTime && now.Sub(d.sentAt) >= quarantineSendInterval {
 		d.sentAt = now
-		if words := n.opts.Quarantine.Words(now); len(words) > 0 {
+		if words := n.opts.Quarantine.Entries(now); len(words) > 0 {
 			n.send(from, &messenger.Message{Ended: words})
 		}
 	}
--- a/conductor/record.go
+++ b/conductor/record.go
@@ -59,7 +59,7 @@
 }
 
 // logBarred logs a request that is sent to no upstream any more.
-func (h *Host) logBarred(w quarantiner.Word) {
+func (h *Host) logBarred(w quarantiner.Entry) {
 	h.counters.barred()
 	h.log.Warn().Stringer("Identity", w.Identity).Strs("Upstreams", w.Ends).Msg(logger.RequestBarred)
 }
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -150,7 +150,7 @@
 func (n *Node) greeting(now time.Time) *messenger.Message {
 	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), Namings: n.state.Namings(now),
 		Offsets: n.feedOffsets(),
-		Ended:   n.opts.Quarantine.Words(now), EndedDigest: n.opts.Quarantine.Digest(),
+		Ended:   n.opts.Quarantine.Entries(now), EndedDigest: n.opts.Quarantine.Digest(),
 		Hosts: []tracker.HostRecord{n.hosts.Self()}}
 	if now.Sub(n.lastBucketsSent) >= bucketsInterval {
 		n.lastBucketsSent = now
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -51,7 +51,7 @@
 	CoresInUse   float64                  `cbor:"27,keyasint,omitempty"` // CoresInUse is the sender's number of cores in use; with Report.
 	// Ended holds updates on requests during which upstreams have failed; EndedDigest is the digest
 	// of all of them that the sender knows, sent with Digest.
-	Ended       []quarantiner.Word  `cbor:"30,keyasint,omitempty"`
+	Ended       []quarantiner.Entry `cbor:"30,keyasint,omitempty"`
 	EndedDigest uint64              `cbor:"31,keyasint,omitempty"`
 	FeedPages   []follower.FeedPage `cbor:"20,keyasint,omitempty"` // FeedPages holds pages of feeds that the sender has read.
 }
--- a/messenger/message_test.go
+++ b/messenger/message_test.go
@@ -21,7 +21,7 @@
 // FuzzDecode: arbitrary bytes must not panic, and a decoded message must survive another round trip.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(&Message{Digest: 1, Hosts: []tracker.HostRecord{{Host: "a"}}, Claims: []claimer.Message{{Range: 1, Request: &claimer.Request{Nonce: "n"}}}}))
-	f.Add(Encode(&Message{EndedDigest: 7, Ended: []quarantiner.Word{{Identity: quarantiner.Identity{1, 2}, Ends: []string{"a@b"}, Cleared: []string{"c"}, Age: time.Second}}}))
+	f.Add(Encode(&Message{EndedDigest: 7, Ended: []quarantiner.Entry{{Identity: quarantiner.Identity{1, 2}, Ends: []string{"a@b"}, Cleared: []string{"c"}, Age: time.Second}}}))
 	f.Add([]byte{0xa1, 0x02, 0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0x9f})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -54,7 +54,7 @@
 	// Changed is called, if set, when News has new entries. It must not block or call the Ledger.
 	Changed func()
 	// Barred is called, if set, when a request becomes barred. It must not block or call the Ledger.
-	Barred func(w Word)
+	Barred func(w Entry)
 }
 
 // Ledger records the upstream ends of each request. It is safe for concurrent use.
@@ -195,7 +195,7 @@
 
 // Hear merges the records of another host, and returns those that became barred by it, for forwarding.
 // Other differences are found by comparing Digest.
-func (l *Ledger) Hear(now time.Time, words []Word) (barred []Word) {
+func (l *Ledger) Hear(now time.Time, words []Entry) (barred []Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.abandoned) > 0 {
@@ -293,10 +293,10 @@
 }
 
 // News returns the records to send to the other hosts, and clears the queue.
-func (l *Ledger) News(now time.Time) []Word {
+func (l *Ledger) News(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Word
+	var out []Entry
 	for id := range l.unsent {
 		out = append(out, l.records[id].snapshot(now, id))
 	}
@@ -304,22 +304,22 @@
 	return out
 }
 
-// Words returns all records that Digest covers, for hosts that have missed some.
-func (l *Ledger) Words(now time.Time) []Word {
+// Entries returns all records that Digest covers, for hosts that have missed some.
+func (l *Ledger) Entries(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.snapshots(now, (*record).multipleEnds)
 }
 
 // Bars returns the records of barred requests.
-func (l *Ledger) Bars(now time.Time) []Word {
+func (l *Ledger) Bars(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.snapshots(now, (*record).barred)
 }
 
-func (l *Ledger) snapshots(now time.Time, which func(r *record) bool) []Word {
-	var out []Word
+func (l *Ledger) snapshots(now time.Time, which func(r *record) bool) []Entry {
+	var out []Entry
 	for id, r := range l.records {
 		if now.Sub(r.changedAt) < r.ttl() && which(r) {
 			out = append(out, r.snapshot(now, id))
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -89,7 +89,7 @@
 			now = now.Add(messageDelay)
 			at(verb[1]).Hear(now, words)
 		case "tell-all":
-			at(verb[1]).Hear(now, l.Words(now))
+			at(verb[1]).Hear(now, l.Entries(now))
 		case "look":
 		default:
 			t.Fatalf("unknown step %q", s.Do)
@@ -106,7 +106,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		sources := []*Ledger{New(Options{}), New(Options{}), New(Options{})}
-		var words []Word
+		var words []Entry
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			l := sources[rapid.IntRange(0, 2).Draw(t, "host")]
@@ -117,7 +117,7 @@
 			default:
 				l.Ended(now, id, fmt.Sprint("start-", rapid.IntRange(0, 5).Draw(t, "start")), now)
 			}
-			words = append(words, l.Words(now)...)
+			words = append(words, l.Entries(now)...)
 		}
 		a, b := New(Options{}), New(Options{})
 		a.Hear(now, words)
--- a/quarantiner/word.go
+++ b/quarantiner/word.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Word is a host's whole record of one identity, as sent to other hosts.
-type Word struct {
+// Entry is a host's whole record of one identity, as sent to other hosts.
+type Entry struct {
 	Identity Identity      `cbor:"1,keyasint"`
 	Ends     []string      `cbor:"2,keyasint,omitempty"` // Ends are the upstream instances that ended under it.
 	Cleared  []string      `cbor:"3,keyasint,omitempty"` // Cleared are ends that no longer count.
@@ -19,7 +19,7 @@
 }
 
 // endedStarts returns all upstream instances that the words report as ended.
-func endedStarts(words []Word) map[string]bool {
+func endedStarts(words []Entry) map[string]bool {
 	ends := make(map[string]bool)
 	for _, w := range words {
 		for _, start := range w.Ends {
@@ -49,7 +49,7 @@
 // ttl is how long the record is kept after its last change.
 func (r *record) ttl() time.Duration { return recordTTL(r.ends) }
 
-func (w *Word) ttl() time.Duration { return recordTTL(w.Ends) }
+func (w *Entry) ttl() time.Duration { return recordTTL(w.Ends) }
 
 func recordTTL(ends []string) time.Duration {
 	if len(ends) >= Bar {
@@ -90,7 +90,7 @@
 }
 
 // merge adds the record of another host and reports whether this one changed.
-func (r *record) merge(w Word) bool {
+func (r *record) merge(w Entry) bool {
 	changed := false
 	for _, start := range w.Cleared {
 		changed = r.clear(start) || changed
@@ -121,6 +121,6 @@
 	return sum
 }
 
-func (r *record) snapshot(now time.Time, id Identity) Word {
-	return Word{Identity: id, Ends: slices.Clone(r.ends), Cleared: slices.Clone(r.cleared), Age: max(0, now.Sub(r.changedAt))}
+func (r *record) snapshot(now time.Time, id Identity) Entry {
+	return Entry{Identity: id, Ends: slices.Clone(r.ends), Cleared: slices.Clone(r.cleared), Age: max(0, now.Sub(r.changedAt))}
 }
