--- a/conductor/node.go
+++ b/conductor/node.go
@@ -158,7 +158,7 @@
 	case QuarantineChanged:
 		n.broadcastQuarantine()
 	case QuarantineRestored:
-		n.opts.Quarantine.Hear(now, ev.Entries)
+		n.opts.Quarantine.Merge(now, ev.Entries)
 		n.broadcast(&messenger.Message{Ended: ev.Entries})
 	case DrainStarted:
 		n.markLeaving()
--- a/conductor/quarantine.go
+++ b/conductor/quarantine.go
@@ -47,7 +47,7 @@
 func (n *Node) receiveQuarantine(now time.Time, from string, m *messenger.Message) {
 	if len(m.Ended) > 0 {
 		// Bars are gossiped to neighbours too: they are few and urgent.
-		if barred := n.opts.Quarantine.Hear(now, m.Ended); len(barred) > 0 && !n.topology().small {
+		if barred := n.opts.Quarantine.Merge(now, m.Ended); len(barred) > 0 && !n.topology().small {
 			n.sendAll(n.hosts.Neighbours(), from, &messenger.Message{Ended: barred})
 		}
 		n.broadcastQuarantine() // a host that has served such a request reports it
--- a/conductor/quarantine_test.go
+++ b/conductor/quarantine_test.go
@@ -63,7 +63,7 @@
 			assert.Equal(t, c.countBarred(id), hosts)
 
 			lost := quarantiner.Identify(quarantiner.Parts{Target: "/lost"})
-			c.nodes[0].node.opts.Quarantine.Hear(c.now, []quarantiner.Entry{{Identity: lost, Ends: []string{"a", "b", "c"}}})
+			c.nodes[0].node.opts.Quarantine.Merge(c.now, []quarantiner.Entry{{Identity: lost, Ends: []string{"a", "b", "c"}}})
 			c.run(3 * time.Second)
 			assert.Equal(t, c.countBarred(lost), hosts)
 
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -145,7 +145,7 @@
 	entries := h.ledger.News(m.clock())
 	for _, o := range m.hosts {
 		if o != h && len(entries) > 0 {
-			o.ledger.Hear(m.clock(), entries)
+			o.ledger.Merge(m.clock(), entries)
 		}
 	}
 }
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// Hear merges the records of another host, and returns those that became barred by it, for forwarding.
+// Merge merges the records of another host, and returns those that became barred by it, for forwarding.
 // Other differences are found by comparing Digest.
-func (l *Ledger) Hear(now time.Time, words []Entry) (barred []Entry) {
+func (l *Ledger) Merge(now time.Time, words []Entry) (barred []Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.abandoned) > 0 {
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -83,13 +83,13 @@
 		case "lift":
 			l.Lift(now, identityOf(verb[1]))
 		case "tell":
-			at(verb[1]).Hear(now, l.News(now))
+			at(verb[1]).Merge(now, l.News(now))
 		case "tell-late":
 			words := l.News(now)
 			now = now.Add(messageDelay)
-			at(verb[1]).Hear(now, words)
+			at(verb[1]).Merge(now, words)
 		case "tell-all":
-			at(verb[1]).Hear(now, l.Entries(now))
+			at(verb[1]).Merge(now, l.Entries(now))
 		case "look":
 		default:
 			t.Fatalf("unknown step %q", s.Do)
@@ -120,9 +120,9 @@
 			words = append(words, l.Entries(now)...)
 		}
 		a, b := New(Options{}), New(Options{})
-		a.Hear(now, words)
-		b.Hear(now, rapid.Permutation(words).Draw(t, "order"))
-		b.Hear(now, words)
+		a.Merge(now, words)
+		b.Merge(now, rapid.Permutation(words).Draw(t, "order"))
+		b.Merge(now, words)
 		assert.Equal(t, a.Digest(), b.Digest())
 		for i := range 4 {
 			id := identityOf(fmt.Sprint(i))
