--- a/conductor/quarantine.go
+++ b/conductor/quarantine.go
@@ -32,7 +32,7 @@
 // broadcastQuarantine sends all hosts this one's news. In a large fleet neighbours get it directly
 // as well, since a relay may be stalled.
 func (n *Node) broadcastQuarantine() {
-	words := n.opts.Quarantine.News(n.now)
+	words := n.opts.Quarantine.TakeChanges(n.now)
 	if len(words) == 0 {
 		return
 	}
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -142,7 +142,7 @@
 
 // sendEntries sends the changed entries of a host's ledger to all others.
 func (m *endsModel) sendEntries(h *endsHost) {
-	entries := h.ledger.News(m.clock())
+	entries := h.ledger.TakeChanges(m.clock())
 	for _, o := range m.hosts {
 		if o != h && len(entries) > 0 {
 			o.ledger.Merge(m.clock(), entries)
--- a/quarantiner/doc.go
+++ b/quarantiner/doc.go
@@ -25,5 +25,5 @@
 //	id := quarantiner.Identify(quarantiner.Parts{Workspace: "w", Host: h, Target: t, Body: b})
 //	if v := l.Standing(now, id); v.Standing == quarantiner.Barred { ... }
 //	l.Ended(now, id, upstream.InstanceID(), sent)
-//	for _, w := range l.News(now) { ... } // for the other hosts, which call Merge
+//	for _, w := range l.TakeChanges(now) { ... } // for the other hosts, which call Merge
 package quarantiner
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -51,7 +51,7 @@
 
 // Options configure a Ledger.
 type Options struct {
-	// Changed is called, if set, when News has new entries. It must not block or call the Ledger.
+	// Changed is called, if set, when TakeChanges has new entries. It must not block or call the Ledger.
 	Changed func()
 	// Barred is called, if set, when a request becomes barred. It must not block or call the Ledger.
 	Barred func(w Entry)
@@ -64,7 +64,7 @@
 
 	mu        sync.Mutex
 	records   map[Identity]*record
-	unsent    map[Identity]struct{} // unsent are identities whose changes News has not returned yet.
+	unsent    map[Identity]struct{} // unsent are identities whose changes TakeChanges has not returned yet.
 	digest    uint64                // digest is the XOR of the digests of all records.
 	served    recentSet
 	abandoned []abandonment // abandoned are recently abandoned requests, oldest first.
@@ -185,7 +185,7 @@
 	return true
 }
 
-// announce queues an identity for News; l.mu is held.
+// announce queues an identity for TakeChanges; l.mu is held.
 func (l *Ledger) announce(id Identity) {
 	l.unsent[id] = struct{}{}
 	if l.opts.Changed != nil {
@@ -292,8 +292,8 @@
 	}
 }
 
-// News returns the records to send to the other hosts, and clears the queue.
-func (l *Ledger) News(now time.Time) []Entry {
+// TakeChanges returns the records to send to the other hosts, and clears the queue.
+func (l *Ledger) TakeChanges(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Entry
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -83,9 +83,9 @@
 		case "lift":
 			l.Lift(now, identityOf(verb[1]))
 		case "tell":
-			at(verb[1]).Merge(now, l.News(now))
+			at(verb[1]).Merge(now, l.TakeChanges(now))
 		case "tell-late":
-			words := l.News(now)
+			words := l.TakeChanges(now)
 			now = now.Add(messageDelay)
 			at(verb[1]).Merge(now, words)
 		case "tell-all":
