--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -60,7 +60,7 @@
 	case r.Failure != nil && r.Failure.NoListener:
 		d.opts.Quarantine.Gone(d.opts.Timer.Now(), u.InstanceID())
 	case d.abandoned(ctx, r):
-		d.opts.Quarantine.Left(d.opts.Timer.Now(), d.outcome.Identity, u.InstanceID())
+		d.opts.Quarantine.Abandoned(d.opts.Timer.Now(), d.outcome.Identity, u.InstanceID())
 		d.watcher.watch(u)
 	case d.succeeded(r):
 		d.opts.Quarantine.Served(d.opts.Timer.Now(), d.outcome.Identity)
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -60,7 +60,7 @@
 type Quarantine interface {
 	Standing(now time.Time, id quarantiner.Identity) quarantiner.Verdict
 	Ended(now time.Time, id quarantiner.Identity, start string, sent time.Time)
-	Left(now time.Time, id quarantiner.Identity, start string)
+	Abandoned(now time.Time, id quarantiner.Identity, start string)
 	Gone(now time.Time, start string)
 	Served(now time.Time, id quarantiner.Identity)
 }
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -112,10 +112,10 @@
 	l.recordEnd(now, id, start)
 }
 
-// Left records that a request was abandoned, by its caller or at its deadline, while it may have been
+// Abandoned records that a request was abandoned, by its caller or at its deadline, while it may have been
 // running at an upstream instance. Otherwise callers that disconnect and retry could end one upstream
 // after another unnoticed.
-func (l *Ledger) Left(now time.Time, id Identity, start string) {
+func (l *Ledger) Abandoned(now time.Time, id Identity, start string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if over := len(l.abandoned) - maxAbandoned + 1; over > 0 {
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -75,7 +75,7 @@
 		case "ended":
 			l.Ended(now, identityOf(verb[1]), verb[2], sentAt(t, now, s, verb))
 		case "left":
-			l.Left(now, identityOf(verb[1]), verb[2])
+			l.Abandoned(now, identityOf(verb[1]), verb[2])
 		case "gone":
 			l.Gone(now, verb[2])
 		case "served":
