--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -58,7 +58,7 @@
 	}
 	switch {
 	case r.Failure != nil && r.Failure.NoListener:
-		d.opts.Quarantine.Gone(d.opts.Timer.Now(), u.InstanceID())
+		d.opts.Quarantine.InstanceEnded(d.opts.Timer.Now(), u.InstanceID())
 	case d.abandoned(ctx, r):
 		d.opts.Quarantine.Abandoned(d.opts.Timer.Now(), d.outcome.Identity, u.InstanceID())
 		d.watcher.watch(u)
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -61,7 +61,7 @@
 	Standing(now time.Time, id quarantiner.Identity) quarantiner.Verdict
 	Ended(now time.Time, id quarantiner.Identity, start string, sent time.Time)
 	Abandoned(now time.Time, id quarantiner.Identity, start string)
-	Gone(now time.Time, start string)
+	InstanceEnded(now time.Time, start string)
 	Served(now time.Time, id quarantiner.Identity)
 }
 
--- a/exchanger/watch.go
+++ b/exchanger/watch.go
@@ -49,7 +49,7 @@
 // attempts were abandoned after this one was scheduled.
 func (w *watcher) check(u follower.Upstream) {
 	if w.opts.Gone(u.Address) {
-		w.opts.Quarantine.Gone(w.opts.Timer.Now(), u.InstanceID())
+		w.opts.Quarantine.InstanceEnded(w.opts.Timer.Now(), u.InstanceID())
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -124,8 +124,8 @@
 	l.abandoned = append(l.abandoned, abandonment{id: id, start: start, at: now})
 }
 
-// Gone records that an upstream instance ended without a running request of this host.
-func (l *Ledger) Gone(now time.Time, start string) {
+// InstanceEnded records that an upstream instance ended without a running request of this host.
+func (l *Ledger) InstanceEnded(now time.Time, start string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.countAbandoned(now, map[string]bool{start: true})
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -77,7 +77,7 @@
 		case "left":
 			l.Abandoned(now, identityOf(verb[1]), verb[2])
 		case "gone":
-			l.Gone(now, verb[2])
+			l.InstanceEnded(now, verb[2])
 		case "served":
 			l.Served(now, identityOf(verb[1]))
 		case "lift":
