--- a/conductor/quarantine_test.go
+++ b/conductor/quarantine_test.go
@@ -45,7 +45,7 @@
 			id := quarantiner.Identify(quarantiner.Parts{Target: "/bad"})
 			paused, late := c.nodes[hosts-1], c.nodes[hosts-2]
 			paused.paused = true
-			for i := range quarantiner.Bar {
+			for i := range quarantiner.BarThreshold {
 				s := c.nodes[i%(hosts-2)]
 				s.node.opts.Quarantine.Ended(c.now, id, fmt.Sprint("start-", i), c.now)
 				c.execute(s, s.node.Handle(c.now, QuarantineChanged{}))
--- a/conductor/seek_test.go
+++ b/conductor/seek_test.go
@@ -39,7 +39,7 @@
 		t.Run(fmt.Sprint(tt.connected, " and ", tt.isolated), func(t *testing.T) {
 			c := startIsolated(tt.connected, tt.isolated)
 			bad := quarantiner.Identify(quarantiner.Parts{Target: "bad"})
-			for i := range quarantiner.Bar {
+			for i := range quarantiner.BarThreshold {
 				at := c.now.Add(time.Duration(i) * time.Second)
 				c.nodes[0].node.opts.Quarantine.Ended(at, bad, fmt.Sprint(i), at)
 			}
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -25,7 +25,7 @@
 	hosts    []*endsHost
 	engines  []*endsEngine
 	lastBorn int64
-	barredAt map[quarantiner.Identity]time.Duration // time at which a bad request reached quarantiner.Bar
+	barredAt map[quarantiner.Identity]time.Duration // time at which a bad request reached quarantiner.BarThreshold
 	ends     map[quarantiner.Identity]int
 	result   EndsResult
 }
--- a/experimenter/endsrun.go
+++ b/experimenter/endsrun.go
@@ -66,7 +66,7 @@
 	}
 	m.result.Ends++
 	m.ends[r.request.id]++
-	if m.ends[r.request.id] == quarantiner.Bar {
+	if m.ends[r.request.id] == quarantiner.BarThreshold {
 		m.barredAt[r.request.id] = m.now
 	}
 	m.endEngine(r.engine)
--- a/quarantiner/doc.go
+++ b/quarantiner/doc.go
@@ -5,10 +5,10 @@
 //
 // A caller may repeat such a request at any host, and each try could end another
 // upstream. A Ledger therefore records, by the Identity of a request, the upstream
-// instances that ended while running it. A request with fewer than Bar ends is a
+// instances that ended while running it. A request with fewer than BarThreshold ends is a
 // suspect: all hosts send it to the same upstream, without any other suspect, so that
 // copies of a bad request end only one upstream, and requests that ran beside it by
-// chance are not affected again. A request with Bar ends is barred.
+// chance are not affected again. A request with BarThreshold ends is barred.
 //
 // An end counts only until the same request is answered in full at any host. Requests
 // that a host served recently are never suspects there.
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// Bar is the number of ends from which a request is barred.
-	Bar = 3
+	// BarThreshold is the number of ends from which a request is barred.
+	BarThreshold = 3
 	// sameEventWindow is the time after an end within which the end of a retry's upstream is attributed
 	// to the same event, such as a loss of power.
 	sameEventWindow = 20 * time.Millisecond
@@ -39,7 +39,7 @@
 
 const (
 	Free    Standing = "Free"    // Free means that no ends count against it.
-	Suspect Standing = "Suspect" // Suspect means that upstreams have ended under it, but fewer than Bar.
+	Suspect Standing = "Suspect" // Suspect means that upstreams have ended under it, but fewer than BarThreshold.
 	Barred  Standing = "Barred"  // Barred means that it is sent to no upstream.
 )
 
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -136,7 +136,7 @@
 func TestBounds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(Options{})
-	for i := range Bar {
+	for i := range BarThreshold {
 		now = now.Add(time.Second)
 		l.Ended(now, identityOf("bad"), fmt.Sprint(i), now)
 	}
--- a/quarantiner/word.go
+++ b/quarantiner/word.go
@@ -37,7 +37,7 @@
 	lastLocalEnd time.Time // lastLocalEnd is when this host last observed an end itself.
 }
 
-func (r *record) barred() bool { return len(r.ends) >= Bar }
+func (r *record) barred() bool { return len(r.ends) >= BarThreshold }
 
 func (r *record) empty() bool { return len(r.ends) == 0 && len(r.cleared) == 0 }
 
@@ -52,7 +52,7 @@
 func (w *Entry) ttl() time.Duration { return recordTTL(w.Ends) }
 
 func recordTTL(ends []string) time.Duration {
-	if len(ends) >= Bar {
+	if len(ends) >= BarThreshold {
 		return barTTL
 	}
 	return suspectTTL
