--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -163,7 +163,7 @@
 // authenticate sets the workspace of the caller's key, except on public routes.
 func authenticate(next handler) handler {
 	return func(ctx context.Context, e *exchange) Outcome {
-		if e.view.Table.Keyed() && !e.route.Public {
+		if e.view.Table.RequiresKeys() && !e.route.Public {
 			var ok bool
 			if e.workspace, ok = e.view.Table.Workspace(e.request.Key); !ok {
 				return e.refuse(Refusal{Status: http.StatusUnauthorized, Reason: ReasonNoKey})
--- a/matcher/table.go
+++ b/matcher/table.go
@@ -166,8 +166,8 @@
 	return s, ok
 }
 
-// Keyed reports whether requests to routes that are not public need a key.
-func (t *Table) Keyed() bool { return len(t.parts.Workspaces) > 0 }
+// RequiresKeys reports whether requests to routes that are not public need a key.
+func (t *Table) RequiresKeys() bool { return len(t.parts.Workspaces) > 0 }
 
 // Workspace returns the workspace that holds a key.
 func (t *Table) Workspace(key string) (*Workspace, bool) {
--- a/matcher/table_test.go
+++ b/matcher/table_test.go
@@ -52,8 +52,8 @@
 		assert.Assert(t, ok && w.Name == "w")
 	}
 	_, ok := table.Workspace("")
-	assert.Assert(t, !ok && table.Keyed())
-	assert.Assert(t, !New(Parts{}).Keyed())
+	assert.Assert(t, !ok && table.RequiresKeys())
+	assert.Assert(t, !New(Parts{}).RequiresKeys())
 }
 
 func TestPickFollowsWeights(t *testing.T) {
