--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -208,7 +208,7 @@
 func (h *Host) logEvent(e LogEvent) {
 	ev := h.log.Info()
 	if e.Kind == LogRecordApplied || e.Kind == LogHostChanged {
-		ev = h.log.Belief()
+		ev = h.log.StateChange()
 	}
 	if e.Err != nil {
 		ev = h.log.Warn().Err(e.Err)
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -54,8 +54,8 @@
 // Failure begins a line about a request that failed or was late.
 func (l *Logger) Failure() *zerolog.Event { return l.failure.Info() }
 
-// Belief begins a line about a change in the known records or hosts.
-func (l *Logger) Belief() *zerolog.Event { return l.stateChange.Info() }
+// StateChange begins a line about a change in the known records or hosts.
+func (l *Logger) StateChange() *zerolog.Event { return l.stateChange.Info() }
 
 // LeftOut returns the number of omitted lines.
 func (l *Logger) LeftOut() uint64 { return l.omitted.Load() }
