--- a/logger/logger.go
+++ b/logger/logger.go
@@ -57,8 +57,8 @@
 // StateChange begins a line about a change in the known records or hosts.
 func (l *Logger) StateChange() *zerolog.Event { return l.stateChange.Info() }
 
-// LeftOut returns the number of omitted lines.
-func (l *Logger) LeftOut() uint64 { return l.omitted.Load() }
+// Omitted returns the number of omitted lines.
+func (l *Logger) Omitted() uint64 { return l.omitted.Load() }
 
 // Account logs the number of lines omitted since its last call, if any.
 func (l *Logger) Account() {
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -26,7 +26,7 @@
 	l.Account()
 	text := out.String()
 	assert.Assert(t, strings.Count(text, UpstreamChosen) < flood/10)
-	assert.Equal(t, strings.Count(text, UpstreamChosen)+int(l.LeftOut()), flood)
+	assert.Equal(t, strings.Count(text, UpstreamChosen)+int(l.Omitted()), flood)
 	assert.Equal(t, strings.Count(text, RequestEnded), 1)
 	assert.Equal(t, strings.Count(text, LinesLeftOut), 1)
 }
