--- a/logger/doc.go
+++ b/logger/doc.go
@@ -17,5 +17,5 @@
 //
 // Lines of successful requests beyond RoutineLines a second are omitted. Lines of failed
 // requests have a separate limit, so that successful ones do not displace them. Omitted
-// lines are counted, and Account logs their number.
+// lines are counted, and ReportOmitted logs their number.
 package logger
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -27,7 +27,7 @@
 	failure     zerolog.Logger
 	stateChange zerolog.Logger
 	omitted     atomic.Uint64 // omitted counts omitted lines.
-	reported    atomic.Uint64 // reported is the part of omitted that Account has logged.
+	reported    atomic.Uint64 // reported is the part of omitted that ReportOmitted has logged.
 }
 
 // New returns a logger at a zerolog level; an unknown level means info.
@@ -60,8 +60,8 @@
 // Omitted returns the number of omitted lines.
 func (l *Logger) Omitted() uint64 { return l.omitted.Load() }
 
-// Account logs the number of lines omitted since its last call, if any.
-func (l *Logger) Account() {
+// ReportOmitted logs the number of lines omitted since its last call, if any.
+func (l *Logger) ReportOmitted() {
 	left := l.omitted.Load()
 	if n := left - l.reported.Swap(left); n > 0 {
 		l.Info().Uint64("Lines", n).Msg(LinesLeftOut)
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -22,8 +22,8 @@
 		l.Routine().Msg(UpstreamChosen)
 	}
 	l.Failure().Msg(RequestEnded)
-	l.Account()
-	l.Account()
+	l.ReportOmitted()
+	l.ReportOmitted()
 	text := out.String()
 	assert.Assert(t, strings.Count(text, UpstreamChosen) < flood/10)
 	assert.Equal(t, strings.Count(text, UpstreamChosen)+int(l.Omitted()), flood)
