--- a/experimenter/fleet.go
+++ b/experimenter/fleet.go
@@ -13,22 +13,22 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// FleetScene is a scenario that a simulated fleet goes through.
-type FleetScene string
+// FleetScenario is a scenario that a simulated fleet goes through.
+type FleetScenario string
 
 // The scenarios, in the order in which they run.
 const (
-	FleetStart   FleetScene = "Start"   // all hosts start for the first time
-	FleetIdle    FleetScene = "Idle"    // nothing changes
-	FleetChange  FleetScene = "Change"  // a new configuration is written
-	FleetStorm   FleetScene = "Storm"   // the entries of a fortieth of the upstreams change
-	FleetSeries  FleetScene = "Series"  // hosts restart one after the other
-	FleetZone    FleetScene = "Zone"    // all hosts of an availability zone stop and don't return
-	FleetKillAll FleetScene = "KillAll" // all hosts stop and restart
+	FleetStart   FleetScenario = "Start"   // all hosts start for the first time
+	FleetIdle    FleetScenario = "Idle"    // nothing changes
+	FleetChange  FleetScenario = "Change"  // a new configuration is written
+	FleetStorm   FleetScenario = "Storm"   // the entries of a fortieth of the upstreams change
+	FleetSeries  FleetScenario = "Series"  // hosts restart one after the other
+	FleetZone    FleetScenario = "Zone"    // all hosts of an availability zone stop and don't return
+	FleetKillAll FleetScenario = "KillAll" // all hosts stop and restart
 )
 
 // FleetScenarios are all scenarios, in the order in which they run.
-var FleetScenarios = []FleetScene{
+var FleetScenarios = []FleetScenario{
 	FleetStart, FleetIdle, FleetChange, FleetStorm, FleetSeries, FleetZone, FleetKillAll,
 }
 
@@ -41,12 +41,12 @@
 	LinkMbps  float64 // bandwidth of the other hosts' links
 	Series    int     // number of hosts that FleetSeries restarts
 	Seed      uint64
-	Progress  func(scenario FleetScene, virtual time.Duration) // called periodically, if not nil
+	Progress  func(scenario FleetScenario, virtual time.Duration) // called periodically, if not nil
 }
 
 // FleetResult is the outcome and the cost of one scenario.
 type FleetResult struct {
-	Scenario          FleetScene
+	Scenario          FleetScenario
 	ConvergedAfter    time.Duration // time until all hosts had the same state; 0 if they did not converge
 	Duration          time.Duration // simulated time
 	StoreCalls        int
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -39,7 +39,7 @@
 )
 
 // fleetDurations are the simulated times of the scenarios.
-var fleetDurations = map[FleetScene]time.Duration{
+var fleetDurations = map[FleetScenario]time.Duration{
 	FleetStart: 12 * time.Second, FleetIdle: 5 * time.Second, FleetChange: 3 * time.Second,
 	FleetStorm: 5 * time.Second, FleetSeries: 10 * time.Second, FleetZone: 10 * time.Second,
 	FleetKillAll: 12 * time.Second,
@@ -155,7 +155,7 @@
 }
 
 // runScenario runs one scenario and returns its result.
-func (m *fleetModel) runScenario(scenario FleetScene) FleetResult {
+func (m *fleetModel) runScenario(scenario FleetScenario) FleetResult {
 	m.result = FleetResult{Scenario: scenario, Duration: fleetDurations[scenario]}
 	for _, h := range m.hosts {
 		h.messages, h.bytes = 0, 0
@@ -182,7 +182,7 @@
 }
 
 // inject schedules the changes of a scenario.
-func (m *fleetModel) inject(scenario FleetScene) {
+func (m *fleetModel) inject(scenario FleetScenario) {
 	switch scenario {
 	case FleetStart:
 		for _, h := range m.hosts {
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -208,7 +208,7 @@
 				results := experimenter.Fleet(experimenter.FleetOptions{
 					Hosts: hosts, Upstreams: hosts * c.Int("upstreams"), Zones: c.Int("zones"), Large: c.Int("large"),
 					LinkMbps: c.Float("link"), Series: c.Int("series"), Seed: c.Uint64("seed"),
-					Progress: func(scene experimenter.FleetScene, virtual time.Duration) {
+					Progress: func(scene experimenter.FleetScenario, virtual time.Duration) {
 						if time.Since(lastPrint) > time.Second {
 							lastPrint = time.Now()
 							fmt.Fprintf(e.err, "\r%d hosts, %s: %.1f s   ", hosts, scene, virtual.Seconds())
