--- a/experimenter/host.go
+++ b/experimenter/host.go
@@ -16,7 +16,7 @@
 func (h *simHost) arrive(t *turn) {
 	s := h.sim
 	class := s.classes[t.conv.class]
-	if s.now >= s.spec.Warm {
+	if s.now >= s.spec.WarmUp {
 		s.requests++
 	}
 	if s.policy.NoQueue || h.queue.Len() == 0 && h.hasRoom(class.Rank) {
@@ -62,7 +62,7 @@
 func (h *simHost) drain() {
 	s := h.sim
 	for _, it := range h.queue.Late(s.clock()) {
-		if s.now >= s.spec.Warm {
+		if s.now >= s.spec.WarmUp {
 			s.refused++
 		}
 		delete(h.waiting, it)
@@ -279,7 +279,7 @@
 
 // recordServed adds an answered request to the results.
 func (s *simulation) recordServed(t *turn, j *job, took time.Duration) {
-	if t.at < s.spec.Warm {
+	if t.at < s.spec.WarmUp {
 		return
 	}
 	s.times[t.conv.class].Add(took)
--- a/experimenter/workload.go
+++ b/experimenter/workload.go
@@ -59,7 +59,7 @@
 	ConversationRate float64       // new conversations per second
 	GapMedian        time.Duration // median time between turns
 	GapSpread        float64       // standard deviation of the logarithm of the time between turns
-	Warm             time.Duration // warm-up before the measurement
+	WarmUp           time.Duration // warm-up before the measurement
 	For              time.Duration // simulated time, including the warm-up
 	Classes          []ClassSpec
 	Weights          configurer.RoutingWeights
@@ -73,7 +73,7 @@
 		PrefillRate: 8000, TokenInterval: 25 * time.Millisecond,
 		CacheTokens: 400_000, StoreTokens: 6_000_000, LinkRate: 1e9, BytesPerToken: 16384,
 		Workspaces: 10, Zipf: 1.2, ConversationRate: 9, GapMedian: 25 * time.Minute, GapSpread: 1.8,
-		Warm: 3 * time.Hour, For: 8 * time.Hour,
+		WarmUp: 3 * time.Hour, For: 8 * time.Hour,
 		Classes: []ClassSpec{
 			{Name: "Confirmation", Rank: 0, Weight: 8, Deadline: 10 * time.Second, Share: 0.2,
 				FirstPromptTokens: 600, GrowthTokens: 150, AnswerTokens: 60, ReturnProbability: 0.4},
@@ -92,7 +92,7 @@
 		PrefillRate: 8000, TokenInterval: 25 * time.Millisecond,
 		CacheTokens: 400_000, StoreTokens: 6_000_000, LinkRate: 1e9, BytesPerToken: 16384,
 		Workspaces: 10, Zipf: 1.2, ConversationRate: 15, GapMedian: 10 * time.Minute, GapSpread: 1.5,
-		Warm: 30 * time.Minute, For: 3 * time.Hour,
+		WarmUp: 30 * time.Minute, For: 3 * time.Hour,
 		Classes: []ClassSpec{
 			{Name: "Alert", Rank: 0, Weight: 8, Reserved: 0.15, Deadline: 5 * time.Second, Share: 0.35,
 				FirstPromptTokens: 400, GrowthTokens: 100, AnswerTokens: 40, ReturnProbability: 0.3},
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -73,7 +73,7 @@
 				return withExitCode(ExitUsage, err)
 			}
 			spec.For = time.Duration(float64(spec.For) * c.Float("scale"))
-			spec.Warm = time.Duration(float64(spec.Warm) * c.Float("scale"))
+			spec.WarmUp = time.Duration(float64(spec.WarmUp) * c.Float("scale"))
 			if c.Bool("no-burst") {
 				for i := range spec.Classes {
 					spec.Classes[i].Burst.Factor = 0
@@ -85,7 +85,7 @@
 			}
 			cond := experimenter.Conditions{Lag: c.Duration("lag"), EventLoss: c.Float("event-loss"), LinkFactor: c.Float("links")}
 			if c.Bool("zone-down") {
-				cond.ZoneDown = spec.Warm + (spec.For-spec.Warm)/2
+				cond.ZoneDown = spec.WarmUp + (spec.For-spec.WarmUp)/2
 			}
 			policies := experimenter.Policies()
 			if n := c.Int("policies"); n > 0 {
