--- a/experimenter/forward.go
+++ b/experimenter/forward.go
@@ -27,12 +27,12 @@
 
 // ForwardOptions configure the measurement of forwarding overhead.
 type ForwardOptions struct {
-	Rate    float64       // requests per second, half of them direct
-	For     time.Duration // duration of the measurement of times to first token
-	Tokens  int           // tokens of an answer
-	Streams int           // concurrent streams for the measurement of memory
-	Prompt  int           // bytes of a prompt
-	Spacing time.Duration // time between tokens of an answer
+	Rate          float64       // requests per second, half of them direct
+	For           time.Duration // duration of the measurement of times to first token
+	Tokens        int           // tokens of an answer
+	Streams       int           // concurrent streams for the measurement of memory
+	Prompt        int           // bytes of a prompt
+	TokenInterval time.Duration // time between tokens of an answer
 }
 
 // ForwardResult is the overhead of forwarding.
@@ -52,7 +52,7 @@
 	var res ForwardResult
 	d, err := deployment.Start(ctx, deployment.Options{
 		Hosts: 1, Engines: 1,
-		Engine: emulator.EngineOptions{Slots: 1 << 16, TokenInterval: opts.Spacing},
+		Engine: emulator.EngineOptions{Slots: 1 << 16, TokenInterval: opts.TokenInterval},
 		Document: func(doc *configurer.Document) {
 			w := &doc.Workspaces[0]
 			w.RequestsPerSecond, w.Burst, w.Concurrency = 1e6, 1e6, 1e6
@@ -171,7 +171,7 @@
 // streams.
 func cpuPerToken(ctx context.Context, address string, opts ForwardOptions) (time.Duration, error) {
 	streams, tokens := 64, 2000
-	if opts.Spacing > 0 {
+	if opts.TokenInterval > 0 {
 		streams, tokens = 640, 200
 	}
 	client := newHTTPClient()
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -38,7 +38,7 @@
 				},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					r, err := experimenter.Forward(ctx, experimenter.ForwardOptions{
-						Rate: c.Float("rate"), For: c.Duration("for"), Tokens: c.Int("tokens"), Prompt: c.Int("prompt"), Streams: c.Int("streams"), Spacing: c.Duration("spacing"),
+						Rate: c.Float("rate"), For: c.Duration("for"), Tokens: c.Int("tokens"), Prompt: c.Int("prompt"), Streams: c.Int("streams"), TokenInterval: c.Duration("spacing"),
 					})
 					if err == nil {
 						r.Print(e.out)
