--- a/experimenter/compare.go
+++ b/experimenter/compare.go
@@ -58,8 +58,8 @@
 	return results
 }
 
-// Print writes results as a table.
-func Print(w io.Writer, results []Result) {
+// PrintDecisions writes results as a table.
+func PrintDecisions(w io.Writer, results []Result) {
 	fmt.Fprintf(w, "%-30s %10s %9s %8s %6s", "policy", "recomputed", "link use", "refused", "Jain")
 	for _, c := range results[0].Classes {
 		fmt.Fprintf(w, "  %s p50/p95/p99", c.Class)
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -92,7 +92,7 @@
 				policies = policies[:min(n, len(policies))]
 			}
 			results := experimenter.Compare(spec, policies, cond, c.Uint64("seed"), c.Int("workers"))
-			experimenter.Print(e.out, results)
+			experimenter.PrintDecisions(e.out, results)
 			if path := c.String("plot"); path != "" {
 				return experimenter.WritePlot(path, results, 0)
 			}
