--- a/experimenter/workload.go
+++ b/experimenter/workload.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Deployment returns a deployment by name.
-func Deployment(name string) (Spec, error) {
+// SpecByName returns a deployment by name.
+func SpecByName(name string) (Spec, error) {
 	switch name {
 	case "Association":
 		return Association(), nil
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -68,7 +68,7 @@
 			&cli.IntFlag{Name: "workers", Value: 6, Usage: "`NUMBER` of policies at once"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			spec, err := experimenter.Deployment(c.String("deployment"))
+			spec, err := experimenter.SpecByName(c.String("deployment"))
 			if err != nil {
 				return withExitCode(ExitUsage, err)
 			}
