--- a/experimenter/host.go
+++ b/experimenter/host.go
@@ -61,7 +61,7 @@
 // deadline.
 func (h *simHost) drain() {
 	s := h.sim
-	for _, it := range h.queue.Late(s.clock()) {
+	for _, it := range h.queue.RemoveLate(s.clock()) {
 		if s.now >= s.spec.WarmUp {
 			s.refused++
 		}
--- a/scheduler/gate.go
+++ b/scheduler/gate.go
@@ -101,7 +101,7 @@
 	defer g.mu.Unlock()
 	if now.Sub(g.lastCheck) >= checkInterval {
 		g.lastCheck = now
-		for _, it := range g.queue.Late(now) {
+		for _, it := range g.queue.RemoveLate(now) {
 			it.result <- TooLate
 		}
 		g.queue.Demote(now)
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// Late removes and returns the items whose latest start has passed.
-func (q *Queue) Late(now time.Time) []*Item {
+// RemoveLate removes and returns the items whose latest start has passed.
+func (q *Queue) RemoveLate(now time.Time) []*Item {
 	late := q.find(func(it *Item) bool { return now.After(it.Latest) })
 	for _, it := range late {
 		q.Remove(it)
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -113,13 +113,13 @@
 	assert.Equal(t, g.Enter(t.Context(), item("c", 0, 1, "w")), Granted)
 }
 
-func TestLateRemovesItems(t *testing.T) {
+func TestRemoveLate(t *testing.T) {
 	var q Queue
 	a, b := item("c", 0, 1, "w"), item("c", 0, 1, "w")
 	a.Latest = time.Unix(10, 0)
 	q.Push(a)
 	q.Push(b)
-	late := q.Late(time.Unix(11, 0))
+	late := q.RemoveLate(time.Unix(11, 0))
 	assert.Equal(t, len(late), 1)
 	assert.Assert(t, late[0] == a)
 	assert.Assert(t, q.Pop(always) == b)
