--- a/internal/commander/demo.go
+++ b/internal/commander/demo.go
@@ -55,7 +55,7 @@
 	if err := d.Tour(ctx, e.out); err != nil && ctx.Err() == nil {
 		return err
 	}
-	if err := d.WriteLines(e.out); err != nil {
+	if err := d.WriteCommands(e.out); err != nil {
 		return err
 	}
 	<-ctx.Done()
--- a/internal/commander/demo_test.go
+++ b/internal/commander/demo_test.go
@@ -29,7 +29,7 @@
 	defer d.Close()
 	var out bytes.Buffer
 	assert.NilError(t, d.Tour(t.Context(), &out), out.String())
-	assert.NilError(t, d.WriteLines(&out))
+	assert.NilError(t, d.WriteCommands(&out))
 	for _, address := range []string{d.Callers(), d.Directory(), d.Operators()} {
 		assert.Assert(t, strings.Contains(out.String(), "http://"+address+"/"))
 	}
