--- a/conductor/events.go
+++ b/conductor/events.go
@@ -84,8 +84,8 @@
 // lacks.
 type StoreGap struct{ From string }
 
-// NamingsRestored holds the weight versions that earlier hosts saved.
-type NamingsRestored struct{ Namings []follower.Naming }
+// VersionAgesRestored holds the weight versions that earlier hosts saved.
+type VersionAgesRestored struct{ VersionAges []follower.VersionAge }
 
 // QuarantineChanged reports that the quarantine has news for the other hosts.
 type QuarantineChanged struct{}
@@ -107,7 +107,7 @@
 func (RenewalEnd) event()           {}
 func (StoreReported) event()        {}
 func (StoreGap) event()             {}
-func (NamingsRestored) event()      {}
+func (VersionAgesRestored) event()  {}
 func (QuarantineChanged) event()    {}
 func (QuarantineRestored) event()   {}
 func (DrainStarted) event()         {}
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -125,8 +125,8 @@
 	n.answerWants(ev.From, m.Wants)
 	n.sendMissing(now, ev.From, m.FeedRequests)
 	n.receivePages(now, m.FeedPages)
-	if len(m.Namings) > 0 {
-		n.viewDirty = n.state.MergeVersionAges(now, m.Namings) || n.viewDirty
+	if len(m.VersionAges) > 0 {
+		n.viewDirty = n.state.MergeVersionAges(now, m.VersionAges) || n.viewDirty
 	}
 	n.compareOffsets(now, ev.From, m.Offsets)
 	if m.Renewal != nil {
--- a/conductor/namings.go
+++ b/conductor/namings.go
@@ -18,8 +18,8 @@
 // saveAges are the ages at which a version is saved again.
 var saveAges = []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, 10 * time.Second, 15 * time.Second}
 
-// savedNamings tracks which versions are saved. The zero value is ready to use.
-type savedNamings struct {
+// savedVersionAges tracks which versions are saved. The zero value is ready to use.
+type savedVersionAges struct {
 	saved map[string]savedAge // saved is by model.
 }
 
@@ -29,9 +29,9 @@
 }
 
 // due returns the namings to save now, by model.
-func (n *savedNamings) due(namings []follower.Naming) map[string][]follower.Naming {
-	byModel := make(map[string][]follower.Naming)
-	newest := make(map[string]follower.Naming)
+func (n *savedVersionAges) due(namings []follower.VersionAge) map[string][]follower.VersionAge {
+	byModel := make(map[string][]follower.VersionAge)
+	newest := make(map[string]follower.VersionAge)
 	for _, naming := range namings {
 		byModel[naming.Model] = append(byModel[naming.Model], naming)
 		if naming.Version > newest[naming.Model].Version {
@@ -57,11 +57,11 @@
 	return n
 }
 
-func (n *savedNamings) markSaved(model string, namings []follower.Naming) {
+func (n *savedVersionAges) markSaved(model string, namings []follower.VersionAge) {
 	if n.saved == nil {
 		n.saved = make(map[string]savedAge)
 	}
-	newest := follower.Naming{}
+	newest := follower.VersionAge{}
 	for _, naming := range namings {
 		if naming.Version > newest.Version {
 			newest = naming
@@ -71,15 +71,15 @@
 }
 
 // update saves the namings that are due.
-func (n *savedNamings) update(h *Host) {
-	for model, namings := range n.due(h.view.Load().Namings(h.opts.Timer.Now())) {
-		if h.saveNamings(model, namings) {
+func (n *savedVersionAges) update(h *Host) {
+	for model, namings := range n.due(h.view.Load().VersionAges(h.opts.Timer.Now())) {
+		if h.saveVersionAges(model, namings) {
 			n.markSaved(model, namings)
 		}
 	}
 }
 
-func (h *Host) saveNamings(model string, namings []follower.Naming) bool {
+func (h *Host) saveVersionAges(model string, namings []follower.VersionAge) bool {
 	value, err := codec.Marshal(namings)
 	if err != nil {
 		panic("conductor: namings cannot be encoded: " + err.Error())
@@ -90,14 +90,14 @@
 	return err == nil
 }
 
-// decodeNamings returns the namings among saved values.
-func (h *Host) decodeNamings(saved map[string][]byte) []follower.Naming {
-	var out []follower.Naming
+// decodeVersionAges returns the namings among saved values.
+func (h *Host) decodeVersionAges(saved map[string][]byte) []follower.VersionAge {
+	var out []follower.VersionAge
 	for model, value := range saved {
 		if _, ok := parseBarKey(model); ok {
 			continue
 		}
-		var namings []follower.Naming
+		var namings []follower.VersionAge
 		if err := codec.Unmarshal(value, &namings); err != nil {
 			h.log.Warn().Err(err).Str("Model", model).Msg(logger.NamingsUnread)
 			continue
--- a/conductor/namings_test.go
+++ b/conductor/namings_test.go
@@ -16,10 +16,10 @@
 // TestSavedAges: a version is saved a few times as it grows older, and again when a newer version
 // is named.
 func TestSavedAges(t *testing.T) {
-	var n savedNamings
+	var n savedVersionAges
 	writes := 0
 	for age := time.Duration(0); age < time.Minute; age += 100 * time.Millisecond {
-		namings := []follower.Naming{{Model: "m", Version: 1, Age: age + time.Hour}, {Model: "m", Version: 2, Age: age}}
+		namings := []follower.VersionAge{{Model: "m", Version: 1, Age: age + time.Hour}, {Model: "m", Version: 2, Age: age}}
 		for model, due := range n.due(namings) {
 			assert.Equal(t, len(due), 2)
 			n.markSaved(model, due)
@@ -27,7 +27,7 @@
 		}
 	}
 	assert.Equal(t, writes, len(saveAges))
-	assert.Equal(t, len(n.due([]follower.Naming{{Model: "m", Version: 3, Age: time.Second}})), 1)
+	assert.Equal(t, len(n.due([]follower.VersionAge{{Model: "m", Version: 3, Age: time.Second}})), 1)
 }
 
 // TestReplacedBeforeStart: a host that has just started evicts what was replaced long before, if
@@ -41,10 +41,10 @@
 	for _, weights := range []uint64{1, 2, 3} {
 		assert.Assert(t, inUse(state.View(), now, salt(weights), after), "the ages are unknown")
 	}
-	assert.Assert(t, state.MergeVersionAges(now, []follower.Naming{
+	assert.Assert(t, state.MergeVersionAges(now, []follower.VersionAge{
 		{Model: "m", Version: 2, Age: 14 * time.Second}, {Model: "m", Version: 3, Age: 9 * time.Second},
 	}))
-	assert.Assert(t, !state.MergeVersionAges(now, []follower.Naming{{Model: "m", Version: 3, Age: 9 * time.Second}}), "already known")
+	assert.Assert(t, !state.MergeVersionAges(now, []follower.VersionAge{{Model: "m", Version: 3, Age: 9 * time.Second}}), "already known")
 	assert.Assert(t, !inUse(state.View(), now, salt(1), after))
 	assert.Assert(t, inUse(state.View(), now, salt(2), after))
 	assert.Assert(t, !inUse(state.View(), now.Add(4*time.Second), salt(2), after))
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -152,9 +152,9 @@
 		n.handleRenewalEnd(now, ev)
 	case StoreGap:
 		n.requestStores(now, ev.From)
-	case NamingsRestored:
-		n.viewDirty = n.state.MergeVersionAges(now, ev.Namings) || n.viewDirty
-		n.broadcast(&messenger.Message{Namings: ev.Namings})
+	case VersionAgesRestored:
+		n.viewDirty = n.state.MergeVersionAges(now, ev.VersionAges) || n.viewDirty
+		n.broadcast(&messenger.Message{VersionAges: ev.VersionAges})
 	case QuarantineChanged:
 		n.broadcastQuarantine()
 	case QuarantineRestored:
--- a/conductor/notes.go
+++ b/conductor/notes.go
@@ -17,7 +17,7 @@
 // was down. Only the host that is first in rank writes it. The zero value is ready to use.
 type savedState struct {
 	restored bool
-	namings  savedNamings
+	namings  savedVersionAges
 	bars     savedBars
 }
 
@@ -41,8 +41,8 @@
 		h.log.Warn().Err(err).Msg(logger.NamingsUnread)
 		return false
 	}
-	if namings := h.decodeNamings(saved); len(namings) > 0 {
-		h.post(NamingsRestored{Namings: namings})
+	if namings := h.decodeVersionAges(saved); len(namings) > 0 {
+		h.post(VersionAgesRestored{VersionAges: namings})
 	}
 	if words := n.bars.restore(h, saved); len(words) > 0 {
 		h.post(QuarantineRestored{Entries: words})
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -148,7 +148,7 @@
 // greeting returns what a host may lack that has not heard of this one for long. Its buckets ask in
 // turn for what this host lacks.
 func (n *Node) greeting(now time.Time) *messenger.Message {
-	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), Namings: n.state.Namings(now),
+	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), VersionAges: n.state.VersionAges(now),
 		Offsets: n.feedOffsets(),
 		Ended:   n.opts.Quarantine.Entries(now), EndedDigest: n.opts.Quarantine.Digest(),
 		Hosts: []tracker.HostRecord{n.hosts.Self()}}
--- a/follower/state.go
+++ b/follower/state.go
@@ -20,7 +20,7 @@
 type State struct {
 	table            *matcher.Table
 	named            map[string]VersionHistory
-	peerNamings      map[string][]VersionHistory // peerNamings holds versions reported by other hosts, by model.
+	peerVersions     map[string][]VersionHistory // peerVersions holds versions reported by other hosts, by model.
 	currentUntil     time.Time                   // currentUntil is the time up to which the operators' feed is known.
 	evacuations      evacuations
 	upstreams        map[string]*entry
@@ -43,11 +43,11 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		named:       make(map[string]VersionHistory),
-		peerNamings: make(map[string][]VersionHistory),
-		evacuations: make(evacuations),
-		upstreams:   make(map[string]*entry),
-		dirty:       make(map[string]*Upstream),
+		named:        make(map[string]VersionHistory),
+		peerVersions: make(map[string][]VersionHistory),
+		evacuations:  make(evacuations),
+		upstreams:    make(map[string]*entry),
+		dirty:        make(map[string]*Upstream),
 	}
 }
 
@@ -78,7 +78,7 @@
 			return false
 		}
 		next := s.named[c.Weights.Model].succeededBy(VersionHistory{Version: c.Weights.Version, Since: now, Earliest: s.currentUntil})
-		s.named[c.Weights.Model] = next.merge(s.peerNamings[c.Weights.Model])
+		s.named[c.Weights.Model] = next.merge(s.peerVersions[c.Weights.Model])
 		return true
 	case c.Evacuation != nil:
 		return s.evacuations.apply(now, *c.Evacuation, offset)
@@ -163,42 +163,42 @@
 	}
 }
 
-// Namings returns the known weight versions of all models, including earlier ones.
-func (s *State) Namings(now time.Time) []Naming {
-	return namings(now, s.named)
+// VersionAges returns the known weight versions of all models, including earlier ones.
+func (s *State) VersionAges(now time.Time) []VersionAge {
+	return versionAges(now, s.named)
 }
 
-func namings(now time.Time, named map[string]VersionHistory) []Naming {
-	var out []Naming
+func versionAges(now time.Time, named map[string]VersionHistory) []VersionAge {
+	var out []VersionAge
 	for model, n := range named {
 		for _, b := range append(slices.Clone(n.previous), n) {
-			out = append(out, Naming{Model: model, Version: b.Version, Age: now.Sub(b.Since)})
+			out = append(out, VersionAge{Model: model, Version: b.Version, Age: now.Sub(b.Since)})
 		}
 	}
 	return out
 }
 
-// Namings returns the known weight versions of all models, including earlier ones.
-func (v *View) Namings(now time.Time) []Naming { return namings(now, v.Versions) }
+// VersionAges returns the known weight versions of all models, including earlier ones.
+func (v *View) VersionAges(now time.Time) []VersionAge { return versionAges(now, v.Versions) }
 
 // MergeVersionAges merges weight versions reported by another host and reports whether the view changes.
 // Without them a host that has just started would treat versions replaced long ago as replaced
 // recently.
-func (s *State) MergeVersionAges(now time.Time, reported []Naming) bool {
+func (s *State) MergeVersionAges(now time.Time, reported []VersionAge) bool {
 	for _, t := range reported {
-		s.peerNamings[t.Model] = append(s.peerNamings[t.Model], VersionHistory{Version: t.Version, Since: now.Add(-t.Age)})
+		s.peerVersions[t.Model] = append(s.peerVersions[t.Model], VersionHistory{Version: t.Version, Since: now.Add(-t.Age)})
 	}
 	changed := false
 	for _, t := range reported {
 		if n, ok := s.named[t.Model]; ok {
-			next := n.merge(s.peerNamings[t.Model])
+			next := n.merge(s.peerVersions[t.Model])
 			changed = changed || !next.equal(n)
 			s.named[t.Model] = next
 		}
 	}
 	for model, n := range s.named {
 		if n.Version > 0 {
-			delete(s.peerNamings, model) // merged above or by Apply
+			delete(s.peerVersions, model) // merged above or by Apply
 		}
 	}
 	return changed
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -161,7 +161,7 @@
 	for i, v := range []uint64{2, 3, 4} {
 		other.Apply(ago(time.Duration(20-9*i)*time.Second), Change{Weights: &Weights{Model: "m", Version: v}}, int64(i))
 	}
-	reported := other.Namings(now)
+	reported := other.VersionAges(now)
 	newest := Change{Weights: &Weights{Model: "m", Version: 4}}
 	for name, learn := range map[string]func(s *State){
 		"report first": func(s *State) { s.MergeVersionAges(now, reported); s.Apply(now, newest, 2) },
--- a/follower/types.go
+++ b/follower/types.go
@@ -170,8 +170,8 @@
 	return a
 }
 
-// Naming is a weight version with the time since a host learned of it, as sent to other hosts.
-type Naming struct {
+// VersionAge is a weight version with the time since a host learned of it, as sent to other hosts.
+type VersionAge struct {
 	Model   string        `cbor:"1,keyasint"`
 	Version uint64        `cbor:"2,keyasint"`
 	Age     time.Duration `cbor:"3,keyasint"` // Age is the time since the host learned of it.
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -45,7 +45,7 @@
 	Relay        Relay                    `cbor:"23,keyasint,omitempty"` // Relay requests forwarding by the receiver.
 	Zone         string                   `cbor:"24,keyasint,omitempty"` // Zone is the availability zone that Report aggregates.
 	Stores       []placer.StoreReport     `cbor:"25,keyasint,omitempty"` // Stores holds updates of KV cache stores.
-	Namings      []follower.Naming        `cbor:"26,keyasint,omitempty"` // Namings holds the known weight versions.
+	VersionAges  []follower.VersionAge    `cbor:"26,keyasint,omitempty"` // VersionAges holds the known weight versions.
 	Buckets      []uint64                 `cbor:"28,keyasint,omitempty"` // Buckets requests the hosts of buckets whose digests differ.
 	FeedRequests map[follower.Feed]int64  `cbor:"29,keyasint,omitempty"` // FeedRequests requests feeds from an offset on; below 0 for all.
 	CoresInUse   float64                  `cbor:"27,keyasint,omitempty"` // CoresInUse is the sender's number of cores in use; with Report.
