--- a/dispatcher/attempts.go
+++ b/dispatcher/attempts.go
@@ -57,8 +57,8 @@
 	Withdraw() bool
 }
 
-// Tries is the result of all attempts of a request.
-type Tries struct {
+// Summary is the result of all attempts of a request.
+type Summary struct {
 	Attempts int
 	Arrivals int    // Arrivals counts the attempts that may have reached their upstream.
 	Runs     int    // Runs counts the attempts that may have run.
@@ -66,13 +66,13 @@
 }
 
 // Done reports whether the caller has its final answer.
-func (t *Tries) Done() bool { return t.Last.Verdict == Done }
+func (t *Summary) Done() bool { return t.Last.Verdict == Done }
 
 // Run makes attempts until the caller has its final answer or no other attempt is
 // allowed. A request that is not repeatable is retried only after attempts that
 // did not run.
-func Run[C any](ctx context.Context, p Policy, w Attempter[C]) Tries {
-	var t Tries
+func Run[C any](ctx context.Context, p Policy, w Attempter[C]) Summary {
+	var t Summary
 	for {
 		choice, ok := w.Choose(ctx)
 		if !ok {
@@ -90,7 +90,7 @@
 	}
 }
 
-func (t *Tries) add(r Result) {
+func (t *Summary) add(r Result) {
 	t.Attempts++
 	t.Last = r
 	if r.Reached {
@@ -102,7 +102,7 @@
 }
 
 // more reports whether the policy allows another attempt.
-func (t *Tries) more(ctx context.Context, p Policy) bool {
+func (t *Summary) more(ctx context.Context, p Policy) bool {
 	switch {
 	case ctx.Err() != nil:
 		return false
--- a/dispatcher/ending.go
+++ b/dispatcher/ending.go
@@ -23,7 +23,7 @@
 )
 
 // Ending returns why the request got no answer; Done must be false.
-func (t *Tries) Ending(ctx context.Context) Ending {
+func (t *Summary) Ending(ctx context.Context) Ending {
 	var cause forwarder.Cause
 	if t.Last.Failure != nil {
 		cause = t.Last.Failure.Cause
@@ -44,7 +44,7 @@
 }
 
 // Ran reports whether any attempt ran or may have run.
-func (t *Tries) Ran() forwarder.Ran {
+func (t *Summary) Ran() forwarder.Ran {
 	switch {
 	case t.Runs == 0:
 		return forwarder.RanNo
--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -217,7 +217,7 @@
 }
 
 // conclude writes the final answer if no attempt did.
-func (d *delivery) conclude(ctx context.Context, tries *dispatcher.Tries) {
+func (d *delivery) conclude(ctx context.Context, tries *dispatcher.Summary) {
 	ending := tries.Ending(ctx)
 	switch {
 	case d.stream != nil:
@@ -268,7 +268,7 @@
 }
 
 // notRunRefusal returns the refusal of a request of which no attempt ran.
-func notRunRefusal(ending dispatcher.Ending, tries *dispatcher.Tries) Refusal {
+func notRunRefusal(ending dispatcher.Ending, tries *dispatcher.Summary) Refusal {
 	r := Refusal{Status: http.StatusServiceUnavailable, Reason: notRunReasons[ending], RetryAfter: retryAfterFull}
 	if ending == dispatcher.Refused {
 		r.RetryAfter = max(r.RetryAfter, min(tries.Last.Failure.RetryAfter, maxRetryAfter))
--- a/server/forward.go
+++ b/server/forward.go
@@ -266,7 +266,7 @@
 }
 
 // failureOutcome returns the outcome of a request whose attempts all failed.
-func (d *delivery) failureOutcome(ctx context.Context, tries *dispatcher.Tries) Outcome {
+func (d *delivery) failureOutcome(ctx context.Context, tries *dispatcher.Summary) Outcome {
 	o := d.outcome
 	o.Ran = tries.Ran()
 	if fail := tries.Last.Failure; fail != nil {
