--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -216,8 +216,8 @@
 	return asTimeout(r.ctx, f)
 }
 
-// Whole reads the whole body. It fails if that is larger than limit bytes.
-func (r *Response) Whole(limit int64) ([]byte, *Failure) {
+// ReadAll reads the whole body. It fails if that is larger than limit bytes.
+func (r *Response) ReadAll(limit int64) ([]byte, *Failure) {
 	body, err := io.ReadAll(io.LimitReader(r.reply, limit+1))
 	if err != nil {
 		return nil, r.readFailure(err)
--- a/forwarder/open_test.go
+++ b/forwarder/open_test.go
@@ -117,7 +117,7 @@
 			Header: http.Header{"Idempotency-Key": {"k"}},
 		})
 		if resp != nil {
-			_, _ = resp.Whole(10)
+			_, _ = resp.ReadAll(10)
 			resp.Close()
 		}
 	}
--- a/server/answer.go
+++ b/server/answer.go
@@ -44,7 +44,7 @@
 		return fail
 	}
 	defer resp.Close()
-	body, fail := resp.Whole(maxAnswerBytes)
+	body, fail := resp.ReadAll(maxAnswerBytes)
 	if fail != nil {
 		return fail
 	}
@@ -57,7 +57,7 @@
 
 // relayResponse relays a response that rejects the request.
 func (d *delivery) relayResponse(resp *forwarder.Response) *forwarder.Failure {
-	body, fail := resp.Whole(maxAnswerBytes)
+	body, fail := resp.ReadAll(maxAnswerBytes)
 	if fail != nil {
 		return fail
 	}
@@ -69,7 +69,7 @@
 
 // forwardJSON forwards a response that is not a stream.
 func (d *delivery) forwardJSON(resp *forwarder.Response, nonce string, first func()) *forwarder.Failure {
-	body, fail := resp.Whole(maxAnswerBytes)
+	body, fail := resp.ReadAll(maxAnswerBytes)
 	if fail != nil {
 		return fail
 	}
