--- a/controller/limits.go
+++ b/controller/limits.go
@@ -41,7 +41,7 @@
 }
 
 func (n *Node) applyGrants(now time.Time, g limiter.Grants) {
-	for _, w := range n.shares.Take(g) {
+	for _, w := range n.shares.Apply(g) {
 		n.setLimit(now, w)
 	}
 }
--- a/limiter/share.go
+++ b/limiter/share.go
@@ -174,10 +174,10 @@
 	return dem
 }
 
-// Take applies a reply and returns the workspaces whose shares it sets. Grants are
+// Apply applies a reply and returns the workspaces whose shares it sets. Grants are
 // valid from the time of their demand, so that they expire here before the divider
 // grants them to another host.
-func (s *Shares) Take(g Grants) []string {
+func (s *Shares) Apply(g Grants) []string {
 	at, ok := s.sentAt[g.Sequence]
 	if !ok {
 		return nil
--- a/limiter/share_test.go
+++ b/limiter/share_test.go
@@ -44,7 +44,7 @@
 				if rng.IntN(4) == 0 {
 					continue // the reply is lost
 				}
-				s.Take(g)
+				s.Apply(g)
 			}
 			sum := 0.0
 			for _, s := range shares {
@@ -63,7 +63,7 @@
 	d := NewDivider(now.Add(-2*testTTL), 1, testTTL)
 	a, b := NewShares(testTTL), NewShares(testTTL)
 	ask := func(s *Shares, host string, rate float64) {
-		s.Take(d.Grant(now, host, s.Demand(now, []Usage{{Workspace: "w", Requests: rate}}, time.Second)))
+		s.Apply(d.Grant(now, host, s.Demand(now, []Usage{{Workspace: "w", Requests: rate}}, time.Second)))
 	}
 	for range 12 {
 		now = now.Add(time.Second)
