--- a/conductor/node.go
+++ b/conductor/node.go
@@ -90,10 +90,10 @@
 		opts:  opts,
 		state: follower.New(),
 		hosts: tracker.NewHosts(opts.Self, tracker.HostOptions{
-			Suspect:        opts.Timing.Suspect,
-			SuspectStandby: opts.Timing.SuspectStandby,
-			ForgetAfter:    opts.Timing.ForgetAfter,
-			FullMesh:       activator.MaxAllActive,
+			SuspectAfter:        opts.Timing.SuspectAfter,
+			SuspectStandbyAfter: opts.Timing.SuspectStandbyAfter,
+			ForgetAfter:         opts.Timing.ForgetAfter,
+			FullMesh:            activator.MaxAllActive,
 		}),
 		feeds: map[follower.Feed]*feed{
 			follower.FeedOperator:  newFeed(),
@@ -187,7 +187,7 @@
 // detectStall detects that the process was stalled. The silence of other hosts in that time does
 // not count.
 func (n *Node) detectStall(now time.Time) {
-	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.opts.Timing.Suspect/2 {
+	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.opts.Timing.SuspectAfter/2 {
 		for _, r := range n.hosts.All() {
 			n.hosts.Heard(now, r.Host)
 		}
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -7,14 +7,14 @@
 
 // Timing holds the intervals and timeouts of the control plane.
 type Timing struct {
-	Tick      time.Duration // Tick is the interval of the control loop.
-	Heartbeat time.Duration // Heartbeat is the interval between heartbeats.
-	Report    time.Duration // Report is the interval between load reports.
-	Suspect   time.Duration // Suspect is the silence after which a host is suspected.
+	Tick         time.Duration // Tick is the interval of the control loop.
+	Heartbeat    time.Duration // Heartbeat is the interval between heartbeats.
+	Report       time.Duration // Report is the interval between load reports.
+	SuspectAfter time.Duration // SuspectAfter is the silence after which a host is suspected.
 
-	// HeartbeatStandby and SuspectStandby are the same to and from standby hosts of a large fleet.
-	HeartbeatStandby time.Duration
-	SuspectStandby   time.Duration
+	// HeartbeatStandby and SuspectStandbyAfter are the same to and from standby hosts of a large fleet.
+	HeartbeatStandby    time.Duration
+	SuspectStandbyAfter time.Duration
 
 	ForgetAfter time.Duration // ForgetAfter is how long hosts that are gone are remembered.
 
@@ -41,13 +41,13 @@
 // that reads the feeds is cut off at that moment.
 func DefaultTiming() Timing {
 	return Timing{
-		Tick:      50 * time.Millisecond,
-		Heartbeat: 200 * time.Millisecond,
-		Report:    100 * time.Millisecond,
-		Suspect:   800 * time.Millisecond,
+		Tick:         50 * time.Millisecond,
+		Heartbeat:    200 * time.Millisecond,
+		Report:       100 * time.Millisecond,
+		SuspectAfter: 800 * time.Millisecond,
 
-		HeartbeatStandby: time.Second,
-		SuspectStandby:   3500 * time.Millisecond,
+		HeartbeatStandby:    time.Second,
+		SuspectStandbyAfter: 3500 * time.Millisecond,
 
 		ForgetAfter:  30 * time.Second,
 		Admit:        20 * time.Millisecond,
--- a/controller/node.go
+++ b/controller/node.go
@@ -120,7 +120,7 @@
 		outrankedSince:    make(map[string]time.Time),
 	}
 	opts.Self.State = tracker.HostLive
-	n.hosts = tracker.NewHosts(opts.Self, tracker.HostOptions{Suspect: opts.SuspectAfter})
+	n.hosts = tracker.NewHosts(opts.Self, tracker.HostOptions{SuspectAfter: opts.SuspectAfter})
 	n.holder = leaser.NewHolder(n.writer, n.leases, leaser.Options{
 		Duration: opts.Lease,
 		Margin:   opts.LeaseMargin,
--- a/tracker/active_test.go
+++ b/tracker/active_test.go
@@ -14,7 +14,7 @@
 
 // newFleet returns the view of host-0 of a fleet of n hosts.
 func newFleet(now time.Time, n int) *Hosts {
-	h := NewHosts(HostRecord{Host: "host-0", Incarnation: 1, State: HostLive, Peers: "host-0"}, HostOptions{Suspect: time.Second, SuspectStandby: 4 * time.Second})
+	h := NewHosts(HostRecord{Host: "host-0", Incarnation: 1, State: HostLive, Peers: "host-0"}, HostOptions{SuspectAfter: time.Second, SuspectStandbyAfter: 4 * time.Second})
 	for i := 1; i < n; i++ {
 		name := fmt.Sprintf("host-%d", i)
 		h.Merge(now, HostRecord{Host: name, Incarnation: 1, State: HostLive, Peers: name})
--- a/tracker/doc.go
+++ b/tracker/doc.go
@@ -20,7 +20,7 @@
 //
 // # Usage
 //
-//	h := tracker.NewHosts(self, tracker.HostOptions{Suspect: 2 * time.Second})
+//	h := tracker.NewHosts(self, tracker.HostOptions{SuspectAfter: 2 * time.Second})
 //	changed := h.Merge(now, record)
 //	changed = h.Tick(now)
 package tracker
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -14,13 +14,13 @@
 
 // HostOptions configures failure detection and gossip between hosts.
 type HostOptions struct {
-	Suspect time.Duration // Suspect is the silence after which a neighbour is suspected.
-	// SuspectStandby replaces Suspect where the neighbour or this host is a standby; default Suspect.
-	SuspectStandby time.Duration
-	GoneAfter      time.Duration // GoneAfter is the time from suspect to gone; default 3 Suspect.
-	ForgetAfter    time.Duration // ForgetAfter is how long records of gone hosts are kept; default 10 min.
-	Neighbours     int           // Neighbours is the number of neighbours in a large fleet; default 4.
-	FullMesh       int           // FullMesh is the number of hosts up to which all are neighbours; default 9.
+	SuspectAfter time.Duration // SuspectAfter is the silence after which a neighbour is suspected.
+	// SuspectStandbyAfter replaces SuspectAfter where the neighbour or this host is a standby; default SuspectAfter.
+	SuspectStandbyAfter time.Duration
+	GoneAfter           time.Duration // GoneAfter is the time from suspect to gone; default 3 SuspectAfter.
+	ForgetAfter         time.Duration // ForgetAfter is how long records of gone hosts are kept; default 10 min.
+	Neighbours          int           // Neighbours is the number of neighbours in a large fleet; default 4.
+	FullMesh            int           // FullMesh is the number of hosts up to which all are neighbours; default 9.
 }
 
 // defaultFullMesh is the default of HostOptions.FullMesh.
@@ -78,10 +78,10 @@
 // NewHosts returns the view of a host that knows no other host.
 func NewHosts(self HostRecord, opts HostOptions) *Hosts {
 	if opts.GoneAfter == 0 {
-		opts.GoneAfter = 3 * opts.Suspect
+		opts.GoneAfter = 3 * opts.SuspectAfter
 	}
-	if opts.SuspectStandby == 0 {
-		opts.SuspectStandby = opts.Suspect
+	if opts.SuspectStandbyAfter == 0 {
+		opts.SuspectStandbyAfter = opts.SuspectAfter
 	}
 	if opts.ForgetAfter == 0 {
 		opts.ForgetAfter = 10 * time.Minute
@@ -307,9 +307,9 @@
 // suspectTimeout returns the silence after which a neighbour is suspected.
 func (h *Hosts) suspectTimeout(host string) time.Duration {
 	if h.FrequentHeartbeats(host) {
-		return h.opts.Suspect
+		return h.opts.SuspectAfter
 	}
-	return h.opts.SuspectStandby
+	return h.opts.SuspectStandbyAfter
 }
 
 func (h *Hosts) setState(now time.Time, e *hostEntry, s HostState) HostRecord {
--- a/tracker/host_test.go
+++ b/tracker/host_test.go
@@ -14,9 +14,9 @@
 // set back, must override its old record.
 func TestStartAfterClockJumpedBack(t *testing.T) {
 	before := HostRecord{Host: "a", Incarnation: 9000, Version: 3, State: HostLeaving}
-	other := NewHosts(HostRecord{Host: "b", Incarnation: 1, State: HostLive}, HostOptions{Suspect: time.Second})
+	other := NewHosts(HostRecord{Host: "b", Incarnation: 1, State: HostLive}, HostOptions{SuspectAfter: time.Second})
 	other.Merge(now, before)
-	restarted := NewHosts(HostRecord{Host: "a", Incarnation: 4000, State: HostLive}, HostOptions{Suspect: time.Second})
+	restarted := NewHosts(HostRecord{Host: "a", Incarnation: 4000, State: HostLive}, HostOptions{SuspectAfter: time.Second})
 	assert.Equal(t, len(other.Merge(now, restarted.Self())), 0)
 	refuted := restarted.Merge(now, before)
 	assert.Equal(t, len(refuted), 1)
--- a/tracker/random_test.go
+++ b/tracker/random_test.go
@@ -23,7 +23,7 @@
 func TestRandomHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1000, 0)
-		h := NewHosts(HostRecord{Host: "host-0", Incarnation: 1, State: HostLive, Peers: "host-0"}, HostOptions{Suspect: time.Second, ForgetAfter: 10 * time.Second})
+		h := NewHosts(HostRecord{Host: "host-0", Incarnation: 1, State: HostLive, Peers: "host-0"}, HostOptions{SuspectAfter: time.Second, ForgetAfter: 10 * time.Second})
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			at = at.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			name := fmt.Sprint("host-", rapid.IntRange(0, 40).Draw(t, "host"))
--- a/tracker/upstream_test.go
+++ b/tracker/upstream_test.go
@@ -53,7 +53,7 @@
 
 // TestRefute: a suspected host refutes the suspicion with a higher version.
 func TestRefute(t *testing.T) {
-	h := NewHosts(HostRecord{Host: "a", Incarnation: 1, State: HostLive}, HostOptions{Suspect: time.Second})
+	h := NewHosts(HostRecord{Host: "a", Incarnation: 1, State: HostLive}, HostOptions{SuspectAfter: time.Second})
 	updates := h.Merge(now, HostRecord{Host: "a", Incarnation: 1, Version: 1, State: HostSuspect})
 	assert.Equal(t, len(updates), 1)
 	assert.Equal(t, updates[0].State, HostLive)
@@ -70,7 +70,7 @@
 	}
 	graph := make(map[string][]string)
 	for _, self := range names {
-		h := NewHosts(HostRecord{Host: self, State: HostLive}, HostOptions{Suspect: time.Second})
+		h := NewHosts(HostRecord{Host: self, State: HostLive}, HostOptions{SuspectAfter: time.Second})
 		for _, o := range names {
 			if o != self {
 				h.Merge(now, HostRecord{Host: o, Incarnation: 1, Version: 1, State: HostLive, Peers: o})
