--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -213,7 +213,7 @@
 
 // markLeaving marks this host as leaving in its record.
 func (n *Node) markLeaving() {
-	self, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving })
+	self, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving })
 	if changed {
 		n.recordHostChanges([]tracker.HostRecord{self})
 		n.sendHostsToNeighbours("", []tracker.HostRecord{self})
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -219,7 +219,7 @@
 	if !n.view.Ready() || n.hosts.Self().Ready || !n.topology().selfActive {
 		return
 	}
-	self, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.Ready = true })
+	self, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.Ready = true })
 	if changed {
 		n.recordHostChanges([]tracker.HostRecord{self})
 		n.sendHostsToNeighbours("", []tracker.HostRecord{self})
--- a/conductor/use.go
+++ b/conductor/use.go
@@ -66,7 +66,7 @@
 }
 
 func (n *Node) setZoneUse(cores float64) {
-	self, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.ZoneUse = cores })
+	self, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.ZoneUse = cores })
 	if changed {
 		n.recordHostChanges([]tracker.HostRecord{self})
 		n.sendHostsToNeighbours("", []tracker.HostRecord{self})
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -44,7 +44,7 @@
 	n.viewAt = time.Time{} // apply a new configuration without delay
 	n.viewDirty = true
 	revision := n.config.Revision()
-	if r, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.Revision = revision }); changed {
+	if r, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.Revision = revision }); changed {
 		n.sendHosts("", []tracker.HostRecord{r})
 	}
 	n.claimant.SetPolicy(n.claimPolicy())
--- a/controller/node.go
+++ b/controller/node.go
@@ -328,7 +328,7 @@
 	}
 	n.leaving = true
 	n.streams[leaser.StreamName].queue.Add(n.holder.Release()...)
-	if r, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving }); changed {
+	if r, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving }); changed {
 		n.sendHosts("", []tracker.HostRecord{r})
 	}
 	n.viewDirty = true
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -104,9 +104,9 @@
 // Self returns this host's own record.
 func (h *Hosts) Self() HostRecord { return h.self }
 
-// Say applies a change to this host's own record and reports whether the record differs; if so, its
+// UpdateSelf applies a change to this host's own record and reports whether the record differs; if so, its
 // version increases.
-func (h *Hosts) Say(change func(*HostRecord)) (HostRecord, bool) {
+func (h *Hosts) UpdateSelf(change func(*HostRecord)) (HostRecord, bool) {
 	next := h.self
 	change(&next)
 	if next == h.self {
--- a/tracker/random_test.go
+++ b/tracker/random_test.go
@@ -33,7 +33,7 @@
 			case 1:
 				h.SetActive(at, map[string]bool{"host-0": true, name: true})
 			case 2:
-				h.Say(func(r *HostRecord) { r.Ready = !r.Ready })
+				h.UpdateSelf(func(r *HostRecord) { r.Ready = !r.Ready })
 			default:
 				state := rapid.SampledFrom([]HostState{HostLive, HostLive, HostLive, HostSuspect, HostLeaving, HostGone}).Draw(t, "state")
 				h.Merge(at, HostRecord{Host: name, Incarnation: uint64(rapid.IntRange(1, 3).Draw(t, "life")), Version: 1, State: state, Peers: name})
