--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -99,7 +99,7 @@
 	t := n.topology()
 	n.lastGreeted[host] = now
 	n.emit(Send{To: host, Address: address, Message: n.greeting(now)})
-	if slices.Contains(t.active, host) && tracker.Place(t.active, n.opts.Self.Host, "teller/"+host) == 0 {
+	if slices.Contains(t.active, host) && tracker.RankIndex(t.active, n.opts.Self.Host, "teller/"+host) == 0 {
 		n.send(host, n.cacheState())
 	}
 }
--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -42,7 +42,7 @@
 	wanted := make(map[string]bool)
 	names := h.serving.Load().Hosts()
 	for _, s := range view.Table.Services() {
-		if s.Store == nil || tracker.Place(names, h.opts.Settings.Host, "store/"+s.Store.Address) != 0 {
+		if s.Store == nil || tracker.RankIndex(names, h.opts.Settings.Host, "store/"+s.Store.Address) != 0 {
 			continue
 		}
 		address := s.Store.Address
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -154,7 +154,7 @@
 		h.placer.SetFeedCurrent(a.At)
 		h.counters.feedCurrent(follower.FeedOperator, a.At)
 	case PublishHosts:
-		h.evictsStores.Store(tracker.Place(a.Serving.Hosts(), h.opts.Settings.Host, "keeper") == 0)
+		h.evictsStores.Store(tracker.RankIndex(a.Serving.Hosts(), h.opts.Settings.Host, "keeper") == 0)
 		h.hosts.Store(&a.Hosts)
 		h.unheard.Store(&a.Unheard)
 		h.serving.Store(&a.Serving)
--- a/conductor/node_test.go
+++ b/conductor/node_test.go
@@ -52,7 +52,7 @@
 			c.run(3 * time.Second)
 			c.set(c.nodes[reader], accessRefuse)
 			for _, s := range c.nodes {
-				if hosts > 5 && tracker.Place(s.node.topology().active, s.name, "reader/"+string(follower.FeedOperator)) == 0 {
+				if hosts > 5 && tracker.RankIndex(s.node.topology().active, s.name, "reader/"+string(follower.FeedOperator)) == 0 {
 					c.set(s, accessRefuse)
 				}
 			}
--- a/conductor/readers.go
+++ b/conductor/readers.go
@@ -18,7 +18,7 @@
 	if !t.selfActive {
 		return n.opts.Timing.TakeoverAge + maxReaderPlace*n.opts.Timing.TakeoverStep + t.standbyJitter()
 	}
-	place := max(0, tracker.Place(t.active, n.opts.Self.Host, readerKey(name)))
+	place := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, readerKey(name)))
 	if place == 0 {
 		return 0
 	}
@@ -74,7 +74,7 @@
 	if !t.selfActive {
 		return standbyReadDelay + time.Duration(t.standbyPlace)*standbyReadStep
 	}
-	place := max(0, tracker.Place(t.active, n.opts.Self.Host, "reader/start"))
+	place := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "reader/start"))
 	if place < initialReaders {
 		return 0
 	}
@@ -131,7 +131,7 @@
 		return delay
 	case !t.selfActive:
 		return standbyRetryFactor*delay + t.standbyJitter()
-	case tracker.Place(t.active, n.opts.Self.Host, readerKey(name)) >= fastRetryHosts:
+	case tracker.RankIndex(t.active, n.opts.Self.Host, readerKey(name)) >= fastRetryHosts:
 		return activeRetryFactor * delay
 	}
 	return delay
--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -34,7 +34,7 @@
 	if !t.selfActive {
 		return min(len(t.active), maxStandbyPlaces) + t.standbyPlace%maxStandbyPlaces
 	}
-	return max(0, tracker.Place(t.active, n.opts.Self.Host, "renewer"))
+	return max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "renewer"))
 }
 
 func (n *Node) handleCommands(now time.Time, commands []renewer.Command) {
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -53,7 +53,7 @@
 		n.search = peerSearch{interval: firstSearchDelay, due: now.Add(firstSearchDelay),
 			absent: make(map[string]absence)}
 	}
-	if now.Before(n.search.due) || tracker.Place(n.topology().serving.Hosts(), n.opts.Self.Host, "seeker") != 0 {
+	if now.Before(n.search.due) || tracker.RankIndex(n.topology().serving.Hosts(), n.opts.Self.Host, "seeker") != 0 {
 		return
 	}
 	n.search.interval = min(2*n.search.interval, maxSearchInterval)
--- a/conductor/tree.go
+++ b/conductor/tree.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if !t.selfActive {
-		t.standbyPlace = max(0, tracker.Place(n.hosts.Live(), self, "standby"))
+		t.standbyPlace = max(0, tracker.RankIndex(n.hosts.Live(), self, "standby"))
 	}
 	if t.directReports {
 		n.hosts.SetActive(n.now, t.serving.Active)
--- a/controller/leases.go
+++ b/controller/leases.go
@@ -47,7 +47,7 @@
 	live := n.hosts.Live()
 	var wanted []leaser.Wanted
 	for _, name := range slices.Concat(roleLeases, n.neededSlots(now)) {
-		if place := tracker.Place(live, n.opts.Self.Host, name); place >= 0 {
+		if place := tracker.RankIndex(live, n.opts.Self.Host, name); place >= 0 {
 			wanted = append(wanted, leaser.Wanted{Name: name, Rank: place})
 		}
 	}
@@ -70,7 +70,7 @@
 		if isSlot(name) {
 			continue // released when the load is done
 		}
-		if tracker.Place(live, n.opts.Self.Host, name) <= 0 {
+		if tracker.RankIndex(live, n.opts.Self.Host, name) <= 0 {
 			delete(n.outrankedSince, name)
 			continue
 		}
--- a/tracker/rank.go
+++ b/tracker/rank.go
@@ -16,9 +16,9 @@
 	return x ^ x>>31
 }
 
-// Place returns the index of a host among hosts in rendezvous order for a key, or -1 if hosts does
+// RankIndex returns the index of a host among hosts in rendezvous order for a key, or -1 if hosts does
 // not contain it.
-func Place(hosts []string, host, key string) int {
+func RankIndex(hosts []string, host, key string) int {
 	place, found := 0, false
 	own := Rank(host, key)
 	for _, o := range hosts {
--- a/tracker/upstream.go
+++ b/tracker/upstream.go
@@ -265,6 +265,6 @@
 
 // Watches reports whether a host is among the watchers of an upstream.
 func (u *Upstreams) Watches(hosts []string, host, upstream string) bool {
-	place := Place(hosts, host, upstream)
+	place := RankIndex(hosts, host, upstream)
 	return place >= 0 && place < u.opts.Watchers
 }
