--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -126,7 +126,7 @@
 		return
 	}
 	n.lastStores = now
-	n.send(host, &messenger.Message{Wants: []string{wantStores}})
+	n.send(host, &messenger.Message{SnapshotRequests: []string{wantStores}})
 }
 
 // answerWants answers the requests of another host.
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -122,7 +122,7 @@
 	}
 	n.mergeHosts(now, ev.From, m.Hosts)
 	n.notifySuspect(ev.From)
-	n.answerWants(ev.From, m.Wants)
+	n.answerWants(ev.From, m.SnapshotRequests)
 	n.sendMissing(now, ev.From, m.FeedRequests)
 	n.receivePages(now, m.FeedPages)
 	if len(m.VersionAges) > 0 {
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -243,7 +243,7 @@
 	}
 	for _, h := range t.active {
 		if h != n.opts.Self.Host {
-			n.send(h, &messenger.Message{Wants: []string{wantKept}})
+			n.send(h, &messenger.Message{SnapshotRequests: []string{wantKept}})
 			return
 		}
 	}
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, h := range others[:max(0, min(missing, len(others)))] {
-		n.send(h, &messenger.Message{Wants: []string{wantAnnounce}})
+		n.send(h, &messenger.Message{SnapshotRequests: []string{wantAnnounce}})
 	}
 }
 
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -89,7 +89,7 @@
 	for _, r := range m.Replies {
 		n.applySteps(now, n.claimant.Answer(now, r))
 	}
-	n.sendSnapshots(ev.From, m.Wants)
+	n.sendSnapshots(ev.From, m.SnapshotRequests)
 	for _, r := range m.Records {
 		n.applyRelayedRecord(now, r)
 	}
@@ -330,7 +330,7 @@
 		return
 	}
 	n.lastSnapshotRequest = now
-	n.sendNeighbours("", &messenger.Message{Wants: wants})
+	n.sendNeighbours("", &messenger.Message{SnapshotRequests: wants})
 }
 
 // configurationBehind reports whether the stream is that of the configuration and
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -21,34 +21,34 @@
 // Message is a message between hosts. Each field that is set is an independent part; a heartbeat
 // may have none.
 type Message struct {
-	Digest       uint64                   `cbor:"1,keyasint,omitempty"` // Digest is that of the sender's view of all hosts.
-	Hosts        []tracker.HostRecord     `cbor:"2,keyasint,omitempty"`
-	Upstreams    []tracker.UpstreamRecord `cbor:"3,keyasint,omitempty"`
-	Loads        []tracker.LoadDigest     `cbor:"4,keyasint,omitempty"`
-	Claims       []claimer.Message        `cbor:"5,keyasint,omitempty"`
-	Replies      []claimer.Reply          `cbor:"6,keyasint,omitempty"`
-	Wants        []string                 `cbor:"7,keyasint,omitempty"` // Wants names streams whose snapshots are requested.
-	Snapshot     *StreamSnapshot          `cbor:"8,keyasint,omitempty"`
-	Full         bool                     `cbor:"9,keyasint,omitempty"` // Full reports whether Hosts and Upstreams are all that the sender knows.
-	Demand       *limiter.Demand          `cbor:"10,keyasint,omitempty"`
-	Grants       *limiter.Grants          `cbor:"11,keyasint,omitempty"`
-	Turns        []keeper.Turn            `cbor:"12,keyasint,omitempty"`
-	KeptAsk      *KeptAsk                 `cbor:"13,keyasint,omitempty"`
-	KeptTell     *KeptTell                `cbor:"14,keyasint,omitempty"`
-	Placed       []Placement              `cbor:"15,keyasint,omitempty"`
-	Sends        *Sends                   `cbor:"16,keyasint,omitempty"`
-	Records      []StreamRecord           `cbor:"17,keyasint,omitempty"` // Records were just read from the log.
-	Echo         bool                     `cbor:"18,keyasint,omitempty"` // Echo marks the reply to a heartbeat from no neighbour.
-	Report       *placer.Report           `cbor:"19,keyasint,omitempty"`
-	Renewal      *renewer.Status          `cbor:"21,keyasint,omitempty"`
-	Offsets      map[follower.Feed]int64  `cbor:"22,keyasint,omitempty"` // Offsets holds the sender's offset in each feed.
-	Relay        Relay                    `cbor:"23,keyasint,omitempty"` // Relay requests forwarding by the receiver.
-	Zone         string                   `cbor:"24,keyasint,omitempty"` // Zone is the availability zone that Report aggregates.
-	Stores       []placer.StoreReport     `cbor:"25,keyasint,omitempty"` // Stores holds updates of KV cache stores.
-	VersionAges  []follower.VersionAge    `cbor:"26,keyasint,omitempty"` // VersionAges holds the known weight versions.
-	Buckets      []uint64                 `cbor:"28,keyasint,omitempty"` // Buckets requests the hosts of buckets whose digests differ.
-	FeedRequests map[follower.Feed]int64  `cbor:"29,keyasint,omitempty"` // FeedRequests requests feeds from an offset on; below 0 for all.
-	CoresInUse   float64                  `cbor:"27,keyasint,omitempty"` // CoresInUse is the sender's number of cores in use; with Report.
+	Digest           uint64                   `cbor:"1,keyasint,omitempty"` // Digest is that of the sender's view of all hosts.
+	Hosts            []tracker.HostRecord     `cbor:"2,keyasint,omitempty"`
+	Upstreams        []tracker.UpstreamRecord `cbor:"3,keyasint,omitempty"`
+	Loads            []tracker.LoadDigest     `cbor:"4,keyasint,omitempty"`
+	Claims           []claimer.Message        `cbor:"5,keyasint,omitempty"`
+	Replies          []claimer.Reply          `cbor:"6,keyasint,omitempty"`
+	SnapshotRequests []string                 `cbor:"7,keyasint,omitempty"` // SnapshotRequests names streams whose snapshots are requested.
+	Snapshot         *StreamSnapshot          `cbor:"8,keyasint,omitempty"`
+	Full             bool                     `cbor:"9,keyasint,omitempty"` // Full reports whether Hosts and Upstreams are all that the sender knows.
+	Demand           *limiter.Demand          `cbor:"10,keyasint,omitempty"`
+	Grants           *limiter.Grants          `cbor:"11,keyasint,omitempty"`
+	Turns            []keeper.Turn            `cbor:"12,keyasint,omitempty"`
+	KeptAsk          *KeptAsk                 `cbor:"13,keyasint,omitempty"`
+	KeptTell         *KeptTell                `cbor:"14,keyasint,omitempty"`
+	Placed           []Placement              `cbor:"15,keyasint,omitempty"`
+	Sends            *Sends                   `cbor:"16,keyasint,omitempty"`
+	Records          []StreamRecord           `cbor:"17,keyasint,omitempty"` // Records were just read from the log.
+	Echo             bool                     `cbor:"18,keyasint,omitempty"` // Echo marks the reply to a heartbeat from no neighbour.
+	Report           *placer.Report           `cbor:"19,keyasint,omitempty"`
+	Renewal          *renewer.Status          `cbor:"21,keyasint,omitempty"`
+	Offsets          map[follower.Feed]int64  `cbor:"22,keyasint,omitempty"` // Offsets holds the sender's offset in each feed.
+	Relay            Relay                    `cbor:"23,keyasint,omitempty"` // Relay requests forwarding by the receiver.
+	Zone             string                   `cbor:"24,keyasint,omitempty"` // Zone is the availability zone that Report aggregates.
+	Stores           []placer.StoreReport     `cbor:"25,keyasint,omitempty"` // Stores holds updates of KV cache stores.
+	VersionAges      []follower.VersionAge    `cbor:"26,keyasint,omitempty"` // VersionAges holds the known weight versions.
+	Buckets          []uint64                 `cbor:"28,keyasint,omitempty"` // Buckets requests the hosts of buckets whose digests differ.
+	FeedRequests     map[follower.Feed]int64  `cbor:"29,keyasint,omitempty"` // FeedRequests requests feeds from an offset on; below 0 for all.
+	CoresInUse       float64                  `cbor:"27,keyasint,omitempty"` // CoresInUse is the sender's number of cores in use; with Report.
 	// Ended holds updates on requests during which upstreams have failed; EndedDigest is the digest
 	// of all of them that the sender knows, sent with Digest.
 	Ended       []quarantiner.Entry `cbor:"30,keyasint,omitempty"`
