--- a/conductor/host.go
+++ b/conductor/host.go
@@ -163,11 +163,11 @@
 		Ended:      h.logUpstreamEnded,
 	})
 	h.messenger = messenger.New(messenger.Options{
-		Self:    messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
-		Secret:  []byte(s.PeerSecret),
-		Receive: h.receive,
-		Up:      func(host, address string) { h.post(PeerUp{Host: host, Address: address}) },
-		Log:     opts.Log.Logger,
+		Self:      messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
+		Secret:    []byte(s.PeerSecret),
+		Receive:   h.receive,
+		OnConnect: func(host, address string) { h.post(PeerUp{Host: host, Address: address}) },
+		Log:       opts.Log.Logger,
 	})
 	h.counters = newCounters(h)
 	return h
--- a/messenger/doc.go
+++ b/messenger/doc.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	m := messenger.New(messenger.Options{Self: hello, Secret: secret, Receive: receive, Up: up})
+//	m := messenger.New(messenger.Options{Self: hello, Secret: secret, Receive: receive, OnConnect: onConnect})
 //	http.Serve(listener, m.Handler())
 //	m.Send("host-2", "10.0.0.2:7100", message)
 //	defer m.Close()
--- a/messenger/mesh.go
+++ b/messenger/mesh.go
@@ -47,12 +47,12 @@
 
 // Options configures a Messenger.
 type Options struct {
-	Self    Hello
-	Secret  []byte
-	Receive func(from string, m *Message) // Receive is called for each message, in order per connection.
-	Up      func(host, address string)    // Up is called after a connection to a host was opened.
-	Log     zerolog.Logger
-	GiveUp  time.Duration // GiveUp is how long an unreachable host without new messages is dialled; default 10 min.
+	Self      Hello
+	Secret    []byte
+	Receive   func(from string, m *Message) // Receive is called for each message, in order per connection.
+	OnConnect func(host, address string)    // OnConnect is called after a connection to a host was opened.
+	Log       zerolog.Logger
+	GiveUp    time.Duration // GiveUp is how long an unreachable host without new messages is dialled; default 10 min.
 }
 
 // Messenger manages one host's connections to the others. It is safe for concurrent use.
@@ -196,7 +196,7 @@
 			continue
 		}
 		backoff, lastNeeded = minBackoff, time.Now()
-		l.messenger.opts.Up(l.host, l.address)
+		l.messenger.opts.OnConnect(l.host, l.address)
 		idle := l.writeLoop(conn)
 		_ = conn.CloseNow()
 		if idle {
--- a/messenger/message_test.go
+++ b/messenger/message_test.go
@@ -40,7 +40,7 @@
 	got = make(chan *Message, 1)
 	to := New(Options{Self: Hello{Host: "b"}, Secret: []byte(secrets[1]), Receive: func(_ string, m *Message) { got <- m }, Log: zerolog.Nop()})
 	srv := httptest.NewServer(to.Handler())
-	from = New(Options{Self: Hello{Host: "a"}, Secret: []byte(secrets[0]), Up: func(string, string) {}, Log: zerolog.Nop()})
+	from = New(Options{Self: Hello{Host: "a"}, Secret: []byte(secrets[0]), OnConnect: func(string, string) {}, Log: zerolog.Nop()})
 	t.Cleanup(func() {
 		from.Close()
 		to.Close()
--- a/runner/host.go
+++ b/runner/host.go
@@ -104,11 +104,11 @@
 	h.cacheIndex = newCacheIndex(h.loop.post)
 	h.shares = newShareRequester(h)
 	h.messenger = messenger.New(messenger.Options{
-		Self:    messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
-		Secret:  []byte(h.settings.PeerSecret),
-		Receive: func(from string, m *messenger.Message) { h.loop.post(controller.PeerMessage{From: from, Message: m}) },
-		Up:      func(host, _ string) { h.loop.post(controller.PeerUp{Host: host}) },
-		Log:     h.logger,
+		Self:      messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
+		Secret:    []byte(h.settings.PeerSecret),
+		Receive:   func(from string, m *messenger.Message) { h.loop.post(controller.PeerMessage{From: from, Message: m}) },
+		OnConnect: func(host, _ string) { h.loop.post(controller.PeerUp{Host: host}) },
+		Log:       h.logger,
 	})
 	h.server = server.New(h.serverOptions(self))
 	h.startServers()
