--- a/controller/membership.go
+++ b/controller/membership.go
@@ -105,11 +105,11 @@
 	for _, t := range m.Turns {
 		n.turnEnded(now, ev.From, t)
 	}
-	if m.KeptAsk != nil {
-		n.cacheQueried(now, ev.From, *m.KeptAsk)
+	if m.CacheQuery != nil {
+		n.cacheQueried(now, ev.From, *m.CacheQuery)
 	}
-	if m.KeptTell != nil {
-		n.cacheReplied(now, *m.KeptTell)
+	if m.CacheReply != nil {
+		n.cacheReplied(now, *m.CacheReply)
 	}
 	if m.Sends != nil {
 		n.inFlightReceived(now, ev.From, m.Sends)
--- a/controller/stores.go
+++ b/controller/stores.go
@@ -219,11 +219,11 @@
 		}
 	}
 	for g := range upstreamGroups {
-		query := messenger.KeptAsk{Group: g, Epoch: n.caches.epochs[g]}
+		query := messenger.CacheQuery{Group: g, Epoch: n.caches.epochs[g]}
 		for i := range doc.Upstreams {
 			u := &doc.Upstreams[i]
 			if u.StoreBlocks > 0 && groupOf(u.Name) == g {
-				query.Upstreams = append(query.Upstreams, messenger.KeptVersion{Upstream: u.Name, Version: n.caches.versions[u.Name]})
+				query.Upstreams = append(query.Upstreams, messenger.CacheVersion{Upstream: u.Name, Version: n.caches.versions[u.Name]})
 			}
 		}
 		if len(query.Upstreams) > 0 {
@@ -232,7 +232,7 @@
 	}
 }
 
-func (n *Node) sendCacheQuery(now time.Time, query messenger.KeptAsk) {
+func (n *Node) sendCacheQuery(now time.Time, query messenger.CacheQuery) {
 	n.caches.sequence++
 	query.Sequence = n.caches.sequence
 	n.caches.pending[query.Sequence] = now
@@ -241,12 +241,12 @@
 	case n.opts.Self.Host:
 		n.cacheQueried(now, to, query)
 	default:
-		n.emit(Send{To: to, Message: &messenger.Message{KeptAsk: &query}})
+		n.emit(Send{To: to, Message: &messenger.Message{CacheQuery: &query}})
 	}
 }
 
 // cacheQueried answers a host's query as the issuer of a group.
-func (n *Node) cacheQueried(now time.Time, from string, query messenger.KeptAsk) {
+func (n *Node) cacheQueried(now time.Time, from string, query messenger.CacheQuery) {
 	if query.Group < 0 || query.Group >= upstreamGroups {
 		return
 	}
@@ -255,7 +255,7 @@
 	if gr == nil || !ok || gr.issuer.Epoch() != epoch {
 		return
 	}
-	reply := messenger.KeptTell{Sequence: query.Sequence, Group: query.Group, Epoch: epoch}
+	reply := messenger.CacheReply{Sequence: query.Sequence, Group: query.Group, Epoch: epoch}
 	for _, u := range query.Upstreams {
 		st := gr.stores[u.Upstream]
 		if st == nil || !st.exclusive || !st.listed {
@@ -266,7 +266,7 @@
 			version = st.plan.Version() + 1 // a version of another issuer: send all segments
 		}
 		changes, full := st.plan.Since(version)
-		reply.Stores = append(reply.Stores, messenger.KeptStore{
+		reply.Stores = append(reply.Stores, messenger.CacheContents{
 			Upstream: u.Upstream,
 			Version:  st.plan.Version(),
 			Full:     full,
@@ -277,12 +277,12 @@
 		n.cacheReplied(now, reply)
 		return
 	}
-	n.emit(Send{To: from, Message: &messenger.Message{KeptTell: &reply}})
+	n.emit(Send{To: from, Message: &messenger.Message{CacheReply: &reply}})
 }
 
 // cacheReplied handles an issuer's reply. Its segments may be used for
 // keeper.KeptLease after the query was sent.
-func (n *Node) cacheReplied(_ time.Time, reply messenger.KeptTell) {
+func (n *Node) cacheReplied(_ time.Time, reply messenger.CacheReply) {
 	sentAt, ok := n.caches.pending[reply.Sequence]
 	if !ok || reply.Group < 0 || reply.Group >= upstreamGroups || reply.Epoch < n.caches.epochs[reply.Group] {
 		return
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -33,8 +33,8 @@
 	Demand           *limiter.Demand          `cbor:"10,keyasint,omitempty"`
 	Grants           *limiter.Grants          `cbor:"11,keyasint,omitempty"`
 	Turns            []keeper.Turn            `cbor:"12,keyasint,omitempty"`
-	KeptAsk          *KeptAsk                 `cbor:"13,keyasint,omitempty"`
-	KeptTell         *KeptTell                `cbor:"14,keyasint,omitempty"`
+	CacheQuery       *CacheQuery              `cbor:"13,keyasint,omitempty"`
+	CacheReply       *CacheReply              `cbor:"14,keyasint,omitempty"`
 	Placed           []Placement              `cbor:"15,keyasint,omitempty"`
 	Sends            *Sends                   `cbor:"16,keyasint,omitempty"`
 	Records          []StreamRecord           `cbor:"17,keyasint,omitempty"` // Records were just read from the log.
@@ -96,30 +96,30 @@
 	End      keeper.Name `cbor:"2,keyasint"`
 }
 
-// KeptAsk requests the contents of upstreams' stores from the issuer of their group.
-type KeptAsk struct {
+// CacheQuery requests the contents of upstreams' stores from the issuer of their group.
+type CacheQuery struct {
 	Sequence  uint64
 	Group     int
 	Epoch     uint64 // Epoch is the issuer's epoch at its last reply.
-	Upstreams []KeptVersion
+	Upstreams []CacheVersion
 }
 
-// KeptVersion is the version up to which a host knows an upstream's store.
-type KeptVersion struct {
+// CacheVersion is the version up to which a host knows an upstream's store.
+type CacheVersion struct {
 	Upstream string `cbor:"1,keyasint"`
 	Version  uint64 `cbor:"2,keyasint"`
 }
 
-// KeptTell is the reply to a KeptAsk.
-type KeptTell struct {
+// CacheReply is the reply to a CacheQuery.
+type CacheReply struct {
 	Sequence uint64
 	Group    int
 	Epoch    uint64
-	Stores   []KeptStore
+	Stores   []CacheContents
 }
 
-// KeptStore holds the contents of one upstream's store that may be used.
-type KeptStore struct {
+// CacheContents holds the contents of one upstream's store that may be used.
+type CacheContents struct {
 	Upstream string
 	Version  uint64
 	Full     bool
