--- a/controller/membership.go
+++ b/controller/membership.go
@@ -111,8 +111,8 @@
 	if m.CacheReply != nil {
 		n.cacheReplied(now, *m.CacheReply)
 	}
-	if m.Sends != nil {
-		n.inFlightReceived(now, ev.From, m.Sends)
+	if m.InFlight != nil {
+		n.inFlightReceived(now, ev.From, m.InFlight)
 	}
 	if len(m.Placed) > 0 {
 		n.emit(PlacementsLearned{Placements: m.Placed})
--- a/controller/node.go
+++ b/controller/node.go
@@ -87,7 +87,7 @@
 	lastFullSync        map[string]time.Time
 	lastSuspectNotice   map[string]time.Time      // by suspected host
 	peerInFlight        map[string]inFlightCounts // by host
-	sentInFlight        []messenger.SendCount     // counts last sent to the other hosts
+	sentInFlight        []messenger.InFlightCount // counts last sent to the other hosts
 	lastInFlightSent    time.Time
 	leaving             bool
 	readyAt             time.Time            // when the node was first ready
--- a/controller/sends.go
+++ b/controller/sends.go
@@ -25,7 +25,7 @@
 // inFlightCounts is what another host has in flight, by upstream.
 type inFlightCounts struct {
 	at     time.Time
-	counts map[string]messenger.SendCount
+	counts map[string]messenger.InFlightCount
 }
 
 // fullMesh reports whether this host has a connection to every other.
@@ -37,11 +37,11 @@
 	if doc == nil || now.Sub(n.lastInFlightSent) < inFlightInterval || !n.fullMesh() {
 		return
 	}
-	s := &messenger.Sends{}
+	s := &messenger.InFlight{}
 	for i := range doc.Upstreams {
 		m := &n.opts.Registry.Get(doc.Upstreams[i].Name).Meter
 		if requests := m.InFlight(); requests > 0 {
-			s.Upstreams = append(s.Upstreams, messenger.SendCount{Upstream: doc.Upstreams[i].Name, Requests: requests, Tokens: m.Pending()})
+			s.Upstreams = append(s.Upstreams, messenger.InFlightCount{Upstream: doc.Upstreams[i].Name, Requests: requests, Tokens: m.Pending()})
 		}
 	}
 	if slices.Equal(s.Upstreams, n.sentInFlight) && now.Sub(n.lastInFlightSent) < inFlightRefreshInterval {
@@ -49,11 +49,11 @@
 	}
 	n.sentInFlight = s.Upstreams
 	n.lastInFlightSent = now
-	n.sendNeighbours("", &messenger.Message{Sends: s})
+	n.sendNeighbours("", &messenger.Message{InFlight: s})
 }
 
-func (n *Node) inFlightReceived(now time.Time, from string, s *messenger.Sends) {
-	p := inFlightCounts{at: now, counts: make(map[string]messenger.SendCount, len(s.Upstreams))}
+func (n *Node) inFlightReceived(now time.Time, from string, s *messenger.InFlight) {
+	p := inFlightCounts{at: now, counts: make(map[string]messenger.InFlightCount, len(s.Upstreams))}
 	for _, c := range s.Upstreams {
 		p.counts[c.Upstream] = c
 	}
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -36,7 +36,7 @@
 	CacheQuery       *CacheQuery              `cbor:"13,keyasint,omitempty"`
 	CacheReply       *CacheReply              `cbor:"14,keyasint,omitempty"`
 	Placed           []Placement              `cbor:"15,keyasint,omitempty"`
-	Sends            *Sends                   `cbor:"16,keyasint,omitempty"`
+	InFlight         *InFlight                `cbor:"16,keyasint,omitempty"`
 	Records          []StreamRecord           `cbor:"17,keyasint,omitempty"` // Records were just read from the log.
 	Echo             bool                     `cbor:"18,keyasint,omitempty"` // Echo marks the reply to a heartbeat from no neighbour.
 	Report           *placer.Report           `cbor:"19,keyasint,omitempty"`
@@ -78,13 +78,13 @@
 	Record folder.Raw
 }
 
-// Sends holds a host's requests in flight at all upstreams. Upstreams that are left out have none.
-type Sends struct {
-	Upstreams []SendCount
+// InFlight holds a host's requests in flight at all upstreams. Upstreams that are left out have none.
+type InFlight struct {
+	Upstreams []InFlightCount
 }
 
-// SendCount counts a host's requests in flight at one upstream.
-type SendCount struct {
+// InFlightCount counts a host's requests in flight at one upstream.
+type InFlightCount struct {
 	Upstream string `cbor:"1,keyasint"`
 	Requests int    `cbor:"2,keyasint"`
 	Tokens   int    `cbor:"3,keyasint,omitempty"` // Tokens is the number of prompt tokens not prefilled yet.
