--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -58,7 +58,7 @@
 	Down       bool          // close every connection without an answer
 	Slow       time.Duration // delay of the first byte
 	CutAfter   int           // number of tokens after which each stream is cut; 0 for never
-	Cross      bool          // answer with the nonce of another attempt
+	WrongNonce bool          // answer with the nonce of another attempt
 	NoMarker   bool          // end streams without the end marker
 	LoseAnswer bool          // run the request, then drop the connection
 	Refuse     bool          // answer 503 and report that the request did not run
--- a/emulator/run.go
+++ b/emulator/run.go
@@ -43,7 +43,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	id := r.nonce
-	if r.fault.Cross {
+	if r.fault.WrongNonce {
 		id = "another-" + id
 	}
 	w.Header().Set(wire.HeaderNonce, id)
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -98,7 +98,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	nonce := r.Header.Get(wire.HeaderNonce)
-	if f.Cross {
+	if f.WrongNonce {
 		nonce = "another-" + nonce
 	}
 	w.Header().Set(wire.HeaderNonce, nonce)
--- a/runner/system_test.go
+++ b/runner/system_test.go
@@ -206,7 +206,7 @@
 // attempt.
 func TestCrossedAnswers(t *testing.T) {
 	d := start(t, deployment.Options{Engines: 2, Services: 2})
-	d.Engines[0].SetFault(emulator.EngineFault{Cross: true})
+	d.Engines[0].SetFault(emulator.EngineFault{WrongNonce: true})
 	for i := range 6 {
 		p := fmt.Sprintf("crossed %d", i)
 		for _, stream := range []bool{true, false} {
@@ -215,8 +215,8 @@
 			assert.Equal(t, r.text, strings.Join(emulator.Answer(p, 5), ""))
 		}
 	}
-	d.Services[0].SetFault(emulator.EngineFault{Cross: true})
-	d.Services[1].SetFault(emulator.EngineFault{Cross: true})
+	d.Services[0].SetFault(emulator.EngineFault{WrongNonce: true})
+	d.Services[1].SetFault(emulator.EngineFault{WrongNonce: true})
 	r := mustSend(t, d.Callers(1), booking("crossed", "slot"))
 	assert.Equal(t, r.status, 502, r.body)
 	assert.Equal(t, string(r.problem.Ran), "Unknown")
@@ -262,7 +262,7 @@
 func TestNotRunIsTrue(t *testing.T) {
 	d := start(t, deployment.Options{Services: 1})
 	svc := d.Services[0]
-	for i, f := range []emulator.EngineFault{{Refuse: true}, {Down: true}, {LoseAnswer: true}, {Cross: true}} {
+	for i, f := range []emulator.EngineFault{{Refuse: true}, {Down: true}, {LoseAnswer: true}, {WrongNonce: true}} {
 		svc.SetFault(f)
 		key := fmt.Sprintf("refused-%d", i)
 		r := mustSend(t, d.Callers(0), booking(key, key))
