--- a/controller/event.go
+++ b/controller/event.go
@@ -103,7 +103,7 @@
 type CacheRead struct {
 	Upstream string
 	Events   *wire.CacheEvents
-	Segments *wire.KeptSegments
+	Segments *wire.StoredSegments
 }
 
 // OrderDone is the result of a SendOrder; Answer is nil if that failed.
--- a/controller/stores.go
+++ b/controller/stores.go
@@ -149,7 +149,7 @@
 
 // segmentsListed applies the segments of a store. It starts a new plan if the
 // upstream restarted or events were lost.
-func (n *Node) segmentsListed(now time.Time, upstream string, st *cacheStore, all *wire.KeptSegments) {
+func (n *Node) segmentsListed(now time.Time, upstream string, st *cacheStore, all *wire.StoredSegments) {
 	if doc := n.config.Document(); doc != nil && (st.incarnation != all.Incarnation || !st.listed) {
 		for i := range doc.Upstreams {
 			if doc.Upstreams[i].Name == upstream {
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -251,7 +251,7 @@
 func (c *cache) serveSegments(incarnation uint64) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		c.mu.Lock()
-		a := wire.KeptSegments{Incarnation: incarnation, Next: c.sequence + 1}
+		a := wire.StoredSegments{Incarnation: incarnation, Next: c.sequence + 1}
 		for name, k := range c.kept {
 			if k.state == keptSealed {
 				a.Segments = append(a.Segments, k.sealedEvent(name))
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -166,8 +166,8 @@
 	Events      []CacheEvent
 }
 
-// KeptSegments is the response to a query for all sealed segments of a store.
-type KeptSegments struct {
+// StoredSegments is the response to a query for all sealed segments of a store.
+type StoredSegments struct {
 	Incarnation uint64
 	Next        uint64 // Next is the sequence number of the next event.
 	Segments    []CacheEvent
--- a/runner/poll.go
+++ b/runner/poll.go
@@ -123,7 +123,7 @@
 func (h *Host) queryCache(client *http.Client, q controller.CacheRequest) {
 	ev := controller.CacheRead{Upstream: q.Upstream}
 	if q.All {
-		var all wire.KeptSegments
+		var all wire.StoredSegments
 		if getJSON(h.ctx, client, "http://"+q.Address+"/cache/segments", &all) == nil {
 			ev.Segments = &all
 		}
