--- a/claimer/table_test.go
+++ b/claimer/table_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestTableRestores(t *testing.T) {
-	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.Written{
+	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.WrittenEntry{
 		{Writer: "a", Entry: folder.NewEntry(KindOpen, Open{Epoch: 3})},
 		{Writer: "a", Entry: claimOf(3, "k", "n1")},
 		{Writer: "a", Entry: settleOf(3, "k", "n1", StateUnknown)},
@@ -38,18 +38,18 @@
 	open := func(epoch uint64) folder.Entry { return folder.NewEntry(KindOpen, Open{Epoch: epoch}) }
 	for _, c := range []struct {
 		name    string
-		entries []foldcheck.Written
+		entries []foldcheck.WrittenEntry
 		state   State
 		nonce   string
 	}{
-		{"the first wins", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateClaimed, "n1"},
-		{"an old owner's claim is void", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "b", Entry: open(2)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}}, "", ""},
-		{"another's claim under the epoch is void", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "b", Entry: claimOf(1, "k", "n1")}}, "", ""},
-		{"not run frees the key", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateNotRun)}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateClaimed, "n2"},
-		{"unknown does not free it", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateUnknown)}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateUnknown, "n1"},
-		{"the claimant may correct unknown", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateUnknown)}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateDone)}}, StateDone, "n1"},
-		{"done is final", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateDone)}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateNotRun)}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateDone, "n1"},
-		{"another's outcome is void", []foldcheck.Written{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n2", StateNotRun)}}, StateClaimed, "n1"},
+		{"the first wins", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateClaimed, "n1"},
+		{"an old owner's claim is void", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "b", Entry: open(2)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}}, "", ""},
+		{"another's claim under the epoch is void", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "b", Entry: claimOf(1, "k", "n1")}}, "", ""},
+		{"not run frees the key", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateNotRun)}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateClaimed, "n2"},
+		{"unknown does not free it", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateUnknown)}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateUnknown, "n1"},
+		{"the claimant may correct unknown", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateUnknown)}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateDone)}}, StateDone, "n1"},
+		{"done is final", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateDone)}, {Writer: "a", Entry: settleOf(1, "k", "n1", StateNotRun)}, {Writer: "a", Entry: claimOf(1, "k", "n2")}}, StateDone, "n1"},
+		{"another's outcome is void", []foldcheck.WrittenEntry{{Writer: "a", Entry: open(1)}, {Writer: "a", Entry: claimOf(1, "k", "n1")}, {Writer: "a", Entry: settleOf(1, "k", "n2", StateNotRun)}}, StateClaimed, "n1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := NewTable()
--- a/internal/foldcheck/check.go
+++ b/internal/foldcheck/check.go
@@ -17,8 +17,8 @@
 	"amaranthgate.example/amaranthgate/folder"
 )
 
-// Written is an entry with its writer.
-type Written struct {
+// WrittenEntry is an entry with its writer.
+type WrittenEntry struct {
 	Writer string
 	Entry  folder.Entry
 }
@@ -26,7 +26,7 @@
 // Run applies entries to a state from newState. For each prefix of entries it also
 // restores a state from a checkpoint after that prefix and applies the rest. All
 // encoded results must be equal, and malformed entries must change nothing.
-func Run(t *testing.T, newState func() folder.State, entries []Written) {
+func Run(t *testing.T, newState func() folder.State, entries []WrittenEntry) {
 	t.Helper()
 	at := func(i int) folder.Position {
 		return folder.Position{Offset: uint64(i), Time: time.Date(2026, 3, 12, 8, 0, i, 987654321, time.UTC)}
--- a/leaser/table_test.go
+++ b/leaser/table_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestTableRestores(t *testing.T) {
-	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.Written{
+	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.WrittenEntry{
 		{Writer: "a", Entry: folder.NewEntry(KindAcquire, Acquire{Name: "l"})},
 		{Writer: "a", Entry: folder.NewEntry(KindRenew, Renew{Leases: []Ref{{Name: "l", Epoch: 1}}})},
 		{Writer: "b", Entry: folder.NewEntry(KindAcquire, Acquire{Name: "l", Epoch: 1, Renewals: 1})},
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -28,7 +28,7 @@
 func TestTableRestores(t *testing.T) {
 	g := NewGatherer(start)
 	answered := Outcome{Workspace: "w", Class: "c", Ran: "Yes", OnTime: true, FirstToken: 30 * time.Millisecond}
-	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.Written{
+	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.WrittenEntry{
 		{Writer: "a", Entry: batch(t, g, answered, Outcome{Workspace: "w", Class: "c", Reason: "RateLimited", Ran: "No"})},
 		{Writer: "a", Entry: batch(t, g, answered, Outcome{Workspace: "v", Class: "c", Once: &OnceLine{RequestID: "r"}})},
 		{Writer: "a", Entry: batch(t, g, Outcome{Workspace: "w", Class: "c", Reason: "MayHaveRun", Ran: "Unknown"})},
