--- a/appender/queue.go
+++ b/appender/queue.go
@@ -117,8 +117,8 @@
 	q.pending = append([]folder.Entry(nil), q.pending[n:]...)
 }
 
-// Done processes the answer to an append. After an error the record may or may not be in the log.
-func (q *Queue) Done(now time.Time, sequence uint64, err error) {
+// AppendAnswered processes the answer to an append. After an error the record may or may not be in the log.
+func (q *Queue) AppendAnswered(now time.Time, sequence uint64, err error) {
 	if q.phase != phaseSent || sequence != q.sequence {
 		return
 	}
--- a/appender/queue_test.go
+++ b/appender/queue_test.go
@@ -28,7 +28,7 @@
 	q.Add(entry(2), entry(3))
 	_, ok = q.Next(now.Add(time.Second))
 	assert.Assert(t, !ok) // one record in flight at a time
-	q.Done(now, 1, nil)
+	q.AppendAnswered(now, 1, nil)
 	q.Read(now, true, applied(rec))
 	rec, ok = q.Next(now.Add(time.Second))
 	assert.Assert(t, ok && len(rec.Entries) == 2 && rec.Sequence == 2)
@@ -41,7 +41,7 @@
 		q.Add(entry(1))
 		rec, _ := q.Next(now)
 		lost := now.Add(time.Second)
-		q.Done(lost, rec.Sequence, errors.New("lost"))
+		q.AppendAnswered(lost, rec.Sequence, errors.New("lost"))
 		q.Read(now, true, nil) // began before the append failed
 		_, ok := q.Next(lost.Add(time.Hour))
 		assert.Assert(t, !ok)
--- a/controller/node.go
+++ b/controller/node.go
@@ -291,7 +291,7 @@
 
 func (n *Node) appendDone(now time.Time, ev AppendDone) {
 	if s := n.streams[ev.Stream]; s != nil {
-		s.queue.Done(now, ev.Sequence, ev.Err)
+		s.queue.AppendAnswered(now, ev.Sequence, ev.Err)
 	}
 }
 
