--- a/appender/queue.go
+++ b/appender/queue.go
@@ -129,9 +129,9 @@
 	q.phase = phaseAppended
 }
 
-// Read processes a read of the stream: its start time, whether it reached the end of the stream,
+// StreamRead processes a read of the stream: its start time, whether it reached the end of the stream,
 // and the records that were applied.
-func (q *Queue) Read(began time.Time, caughtUp bool, applied []folder.Applied) {
+func (q *Queue) StreamRead(began time.Time, caughtUp bool, applied []folder.Applied) {
 	for _, a := range applied {
 		if a.Writer == q.writer && a.Sequence == q.sequence && q.phase != phaseIdle {
 			q.phase = phaseIdle
--- a/appender/queue_test.go
+++ b/appender/queue_test.go
@@ -29,7 +29,7 @@
 	_, ok = q.Next(now.Add(time.Second))
 	assert.Assert(t, !ok) // one record in flight at a time
 	q.AppendAnswered(now, 1, nil)
-	q.Read(now, true, applied(rec))
+	q.StreamRead(now, true, applied(rec))
 	rec, ok = q.Next(now.Add(time.Second))
 	assert.Assert(t, ok && len(rec.Entries) == 2 && rec.Sequence == 2)
 }
@@ -42,18 +42,18 @@
 		rec, _ := q.Next(now)
 		lost := now.Add(time.Second)
 		q.AppendAnswered(lost, rec.Sequence, errors.New("lost"))
-		q.Read(now, true, nil) // began before the append failed
+		q.StreamRead(now, true, nil) // began before the append failed
 		_, ok := q.Next(lost.Add(time.Hour))
 		assert.Assert(t, !ok)
-		q.Read(lost.Add(time.Second), false, nil) // did not reach the end of the stream
+		q.StreamRead(lost.Add(time.Second), false, nil) // did not reach the end of the stream
 		_, ok = q.Next(lost.Add(time.Hour))
 		assert.Assert(t, !ok)
 		if inLog {
-			q.Read(lost.Add(time.Second), true, applied(rec))
+			q.StreamRead(lost.Add(time.Second), true, applied(rec))
 			assert.Equal(t, q.Len(), 0)
 			continue
 		}
-		q.Read(lost.Add(time.Second), true, nil)
+		q.StreamRead(lost.Add(time.Second), true, nil)
 		again, ok := q.Next(lost.Add(time.Hour))
 		assert.Assert(t, ok)
 		assert.Equal(t, again.Sequence, rec.Sequence) // readers drop duplicates
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -375,7 +375,7 @@
 	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.Raw{r.Record}})
 	// The record may be this host's own. The next read of the log starts after it, so
 	// the queue must see it here, or it would wait for it forever.
-	s.queue.Read(time.Time{}, false, applied)
+	s.queue.StreamRead(time.Time{}, false, applied)
 }
 
 // adoptSnapshot adopts a peer's snapshot of a stream that cannot be read.
--- a/controller/node.go
+++ b/controller/node.go
@@ -246,7 +246,7 @@
 	s.failing = false
 	wasReady := s.fold.Ready()
 	applied := n.applyPage(now, s, ev.Stream, ev.Page)
-	s.queue.Read(ev.Began, s.fold.Next() >= ev.Page.Next, applied)
+	s.queue.StreamRead(ev.Began, s.fold.Next() >= ev.Page.Next, applied)
 	if !wasReady && s.fold.Ready() {
 		n.viewDirty = true
 	}
