--- a/claimer/owner.go
+++ b/claimer/owner.go
@@ -76,8 +76,8 @@
 // requests that wait for the outcome of another.
 func (o *Owner) Waiting() (pending, waiting int) { return len(o.pending), len(o.waiting) }
 
-// Hold sets the epoch of the lease that the owner holds; 0 means none.
-func (o *Owner) Hold(epoch uint64) Effects {
+// SetEpoch sets the epoch of the lease that the owner holds; 0 means none.
+func (o *Owner) SetEpoch(epoch uint64) Effects {
 	var fx Effects
 	if epoch == o.epoch {
 		return fx
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -55,7 +55,7 @@
 		})
 		return
 	case epoch == 0:
-		n.applyEffects(now, c, c.owner.Hold(0))
+		n.applyEffects(now, c, c.owner.SetEpoch(0))
 		delete(n.streams, name)
 		n.ranges[i] = nil
 		n.emit(Unfollow{Stream: name})
@@ -65,7 +65,7 @@
 	if !s.fold.Ready() {
 		return
 	}
-	n.applyEffects(now, c, c.owner.Hold(epoch))
+	n.applyEffects(now, c, c.owner.SetEpoch(epoch))
 	n.applyEffects(now, c, c.owner.Tick(now, s.fold.LastTime()))
 }
 
