--- a/claimer/owner.go
+++ b/claimer/owner.go
@@ -105,8 +105,8 @@
 	return out
 }
 
-// Request processes a claim from a host.
-func (o *Owner) Request(now time.Time, from string, r Request) Effects {
+// HandleRequest processes a claim from a host.
+func (o *Owner) HandleRequest(now time.Time, from string, r Request) Effects {
 	var fx Effects
 	if !o.Serving() {
 		return fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultNotOwner})
@@ -273,7 +273,7 @@
 			fx = fx.reply(w.from, finalReply(w.request, e))
 			continue
 		}
-		next := o.Request(now, w.from, w.request)
+		next := o.HandleRequest(now, w.from, w.request)
 		fx.Append = append(fx.Append, next.Append...)
 		fx.Send = append(fx.Send, next.Send...)
 	}
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -114,7 +114,7 @@
 	}
 	c := n.ranges[m.Range]
 	if m.Request != nil && m.Request.Key.Range() == m.Range {
-		n.applyEffects(now, c, c.owner.Request(now, from, *m.Request))
+		n.applyEffects(now, c, c.owner.HandleRequest(now, from, *m.Request))
 	}
 	if m.Outcome != nil && m.Outcome.Key.Range() == m.Range {
 		n.applyEffects(now, c, c.owner.Outcome(from, *m.Outcome))
