--- a/claimer/owner.go
+++ b/claimer/owner.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// Outcome processes the outcome of a claim, as reported by its claimant.
-func (o *Owner) Outcome(from string, out Outcome) Effects {
+// HandleOutcome processes the outcome of a claim, as reported by its claimant.
+func (o *Owner) HandleOutcome(from string, out Outcome) Effects {
 	var fx Effects
 	if !o.Serving() {
 		return fx.reply(from, Reply{Nonce: out.Nonce, Result: ResultNotOwner, Ack: false})
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -117,6 +117,6 @@
 		n.applyEffects(now, c, c.owner.HandleRequest(now, from, *m.Request))
 	}
 	if m.Outcome != nil && m.Outcome.Key.Range() == m.Range {
-		n.applyEffects(now, c, c.owner.Outcome(from, *m.Outcome))
+		n.applyEffects(now, c, c.owner.HandleOutcome(from, *m.Outcome))
 	}
 }
