--- a/claimer/claimant.go
+++ b/claimer/claimant.go
@@ -89,8 +89,8 @@
 	return Steps{Send: []Message{{Range: r.Key.Range(), Request: &r}}}
 }
 
-// Answer processes an owner's reply.
-func (c *Claimant) Answer(now time.Time, r Reply) Steps {
+// HandleReply processes an owner's reply.
+func (c *Claimant) HandleReply(now time.Time, r Reply) Steps {
 	if r.Ack {
 		delete(c.outcomes, r.Nonce)
 		return Steps{}
--- a/claimer/table_test.go
+++ b/claimer/table_test.go
@@ -69,7 +69,7 @@
 	now := time.Unix(1000, 0)
 	c := NewClaimant(Policy{Window: time.Hour, Timeout: 10 * time.Second}, time.Second)
 	c.Start(now, Request{Key: NewKey("w", "k"), Nonce: "n"}, now.Add(time.Second))
-	steps := c.Answer(now.Add(2*time.Second), Reply{Nonce: "n", Result: ResultWon})
+	steps := c.HandleReply(now.Add(2*time.Second), Reply{Nonce: "n", Result: ResultWon})
 	assert.Equal(t, steps.Settled[0].Verdict, VerdictUnavailable)
 	assert.Equal(t, steps.Send[0].Outcome.State, StateNotRun)
 }
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -77,7 +77,7 @@
 	byHost := make(map[string][]claimer.Reply)
 	for _, p := range fx.Send {
 		if p.To == n.opts.Self.Host {
-			n.applySteps(now, n.claimant.Answer(now, p.Reply))
+			n.applySteps(now, n.claimant.HandleReply(now, p.Reply))
 			continue
 		}
 		byHost[p.To] = append(byHost[p.To], p.Reply)
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -87,7 +87,7 @@
 		n.claimMessage(now, ev.From, c)
 	}
 	for _, r := range m.Replies {
-		n.applySteps(now, n.claimant.Answer(now, r))
+		n.applySteps(now, n.claimant.HandleReply(now, r))
 	}
 	n.sendSnapshots(ev.From, m.SnapshotRequests)
 	for _, r := range m.Records {
