--- a/claimer/claimant.go
+++ b/claimer/claimant.go
@@ -32,8 +32,8 @@
 	Outcome *Outcome `cbor:",omitempty"`
 }
 
-// Steps are the actions that a claimant requires of its caller.
-type Steps struct {
+// ClaimantEffects are the actions that a claimant requires of its caller.
+type ClaimantEffects struct {
 	Send    []Message // Send holds messages, each for the owner of its range.
 	Settled []Settled
 }
@@ -80,24 +80,24 @@
 
 // Start starts a claim that must be won before the deadline, and within half the timeout so that
 // the request can be sent before the owner declares the claim Unknown.
-func (c *Claimant) Start(now time.Time, r Request, deadline time.Time) Steps {
+func (c *Claimant) Start(now time.Time, r Request, deadline time.Time) ClaimantEffects {
 	dispatchBefore := now.Add(c.policy.Timeout / 2)
 	if deadline.After(dispatchBefore) {
 		deadline = dispatchBefore
 	}
 	c.claims[r.Nonce] = &openClaim{request: r, deadline: deadline, lastSent: now, dispatchBefore: dispatchBefore}
-	return Steps{Send: []Message{{Range: r.Key.Range(), Request: &r}}}
+	return ClaimantEffects{Send: []Message{{Range: r.Key.Range(), Request: &r}}}
 }
 
 // HandleReply processes an owner's reply.
-func (c *Claimant) HandleReply(now time.Time, r Reply) Steps {
+func (c *Claimant) HandleReply(now time.Time, r Reply) ClaimantEffects {
 	if r.Ack {
 		delete(c.outcomes, r.Nonce)
-		return Steps{}
+		return ClaimantEffects{}
 	}
 	o := c.claims[r.Nonce]
 	if o == nil || o.won {
-		return Steps{}
+		return ClaimantEffects{}
 	}
 	switch r.Result {
 	case ResultWon:
@@ -105,10 +105,10 @@
 			return c.abandon(now, o)
 		}
 		o.won = true
-		return Steps{Settled: []Settled{{Nonce: r.Nonce, Verdict: VerdictWon, Before: o.dispatchBefore}}}
+		return ClaimantEffects{Settled: []Settled{{Nonce: r.Nonce, Verdict: VerdictWon, Before: o.dispatchBefore}}}
 	case ResultQueued:
 		o.queued = true
-		return Steps{}
+		return ClaimantEffects{}
 	case ResultDone:
 		return c.settle(r, VerdictDone)
 	case ResultUnknown:
@@ -118,17 +118,17 @@
 	case ResultExpired:
 		return c.settle(r, VerdictUnavailable)
 	}
-	return Steps{} // NotOwner: Tick sends the request to the next owner.
+	return ClaimantEffects{} // NotOwner: Tick sends the request to the next owner.
 }
 
-func (c *Claimant) settle(r Reply, v Verdict) Steps {
+func (c *Claimant) settle(r Reply, v Verdict) ClaimantEffects {
 	delete(c.claims, r.Nonce)
-	return Steps{Settled: []Settled{{Nonce: r.Nonce, Verdict: v, Answer: r.Answer}}}
+	return ClaimantEffects{Settled: []Settled{{Nonce: r.Nonce, Verdict: v, Answer: r.Answer}}}
 }
 
 // abandon ends a claim whose request was not dispatched. It sends NotRun to the owner, because the
 // claim may still be appended.
-func (c *Claimant) abandon(now time.Time, o *openClaim) Steps {
+func (c *Claimant) abandon(now time.Time, o *openClaim) ClaimantEffects {
 	nonce := o.request.Nonce
 	steps := c.Finish(now, Outcome{Key: o.request.Key, Nonce: nonce, State: StateNotRun})
 	verdict := VerdictUnavailable
@@ -141,25 +141,25 @@
 
 // Abandon ends a claim whose caller has left. It ignores a claim that was won, which ends with
 // Finish.
-func (c *Claimant) Abandon(now time.Time, nonce string) Steps {
+func (c *Claimant) Abandon(now time.Time, nonce string) ClaimantEffects {
 	o := c.claims[nonce]
 	if o == nil || o.won {
-		return Steps{}
+		return ClaimantEffects{}
 	}
 	return c.abandon(now, o)
 }
 
 // Finish ends a claim with an outcome, which is sent to the owner until it is acknowledged.
-func (c *Claimant) Finish(now time.Time, out Outcome) Steps {
+func (c *Claimant) Finish(now time.Time, out Outcome) ClaimantEffects {
 	delete(c.claims, out.Nonce)
 	c.outcomes[out.Nonce] = &openOutcome{outcome: out, lastSent: now, expires: now.Add(c.policy.Window)}
-	return Steps{Send: []Message{{Range: out.Key.Range(), Outcome: &out}}}
+	return ClaimantEffects{Send: []Message{{Range: out.Key.Range(), Outcome: &out}}}
 }
 
 // Tick repeats unanswered messages, abandons claims past their deadline and drops outcomes that
 // were not acknowledged within Policy.Window.
-func (c *Claimant) Tick(now time.Time) Steps {
-	var steps Steps
+func (c *Claimant) Tick(now time.Time) ClaimantEffects {
+	var steps ClaimantEffects
 	for _, o := range c.claims {
 		switch {
 		case o.won:
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -88,7 +88,7 @@
 }
 
 // applySteps settles claims and sends messages as the claimant returned.
-func (n *Node) applySteps(now time.Time, s claimer.Steps) {
+func (n *Node) applySteps(now time.Time, s claimer.ClaimantEffects) {
 	for _, settled := range s.Settled {
 		n.emit(Settle{Settled: settled})
 	}
