--- a/claimer/claimant.go
+++ b/claimer/claimant.go
@@ -17,8 +17,8 @@
 	VerdictUnavailable Verdict = "Unavailable" // VerdictUnavailable means that the request was not run.
 )
 
-// Settled is the verdict for one claim.
-type Settled struct {
+// Settlement is the verdict for one claim.
+type Settlement struct {
 	Nonce   string
 	Verdict Verdict
 	Answer  *Answer
@@ -35,7 +35,7 @@
 // ClaimantEffects are the actions that a claimant requires of its caller.
 type ClaimantEffects struct {
 	Send    []Message // Send holds messages, each for the owner of its range.
-	Settled []Settled
+	Settled []Settlement
 }
 
 // Claimant claims keys for the requests of one host. It is a state machine that does no I/O and
@@ -105,7 +105,7 @@
 			return c.abandon(now, o)
 		}
 		o.won = true
-		return ClaimantEffects{Settled: []Settled{{Nonce: r.Nonce, Verdict: VerdictWon, Before: o.dispatchBefore}}}
+		return ClaimantEffects{Settled: []Settlement{{Nonce: r.Nonce, Verdict: VerdictWon, Before: o.dispatchBefore}}}
 	case ResultQueued:
 		o.queued = true
 		return ClaimantEffects{}
@@ -123,7 +123,7 @@
 
 func (c *Claimant) settle(r Reply, v Verdict) ClaimantEffects {
 	delete(c.claims, r.Nonce)
-	return ClaimantEffects{Settled: []Settled{{Nonce: r.Nonce, Verdict: v, Answer: r.Answer}}}
+	return ClaimantEffects{Settled: []Settlement{{Nonce: r.Nonce, Verdict: v, Answer: r.Answer}}}
 }
 
 // abandon ends a claim whose request was not dispatched. It sends NotRun to the owner, because the
@@ -135,7 +135,7 @@
 	if o.queued {
 		verdict = VerdictUnknown
 	}
-	steps.Settled = []Settled{{Nonce: nonce, Verdict: verdict}}
+	steps.Settled = []Settlement{{Nonce: nonce, Verdict: verdict}}
 	return steps
 }
 
--- a/controller/event.go
+++ b/controller/event.go
@@ -175,7 +175,7 @@
 
 // Settle returns the verdict of a claim to its caller.
 type Settle struct {
-	Settled claimer.Settled
+	Settled claimer.Settlement
 }
 
 // Published returns the result of a change to its publisher.
--- a/controller/simhost_test.go
+++ b/controller/simhost_test.go
@@ -245,7 +245,7 @@
 }
 
 // settle dispatches the request of a won claim, as the server does.
-func (h *simHost) settle(v claimer.Settled) {
+func (h *simHost) settle(v claimer.Settlement) {
 	s := h.sim
 	a := h.claims[v.Nonce]
 	if a == nil {
@@ -259,10 +259,10 @@
 	h.later(simHop, func() { h.dispatch(a, v) })
 }
 
-func (h *simHost) dispatch(a *simAttempt, v claimer.Settled) {
+func (h *simHost) dispatch(a *simAttempt, v claimer.Settlement) {
 	s := h.sim
 	finish := func(st claimer.State, verdict claimer.Verdict) {
-		a.settled, a.end = &claimer.Settled{Nonce: a.nonce, Verdict: verdict}, s.now
+		a.settled, a.end = &claimer.Settlement{Nonce: a.nonce, Verdict: verdict}, s.now
 		h.handle(ClaimFinished{Outcome: claimer.Outcome{Key: a.key, Nonce: a.nonce, State: st}})
 	}
 	if !s.now.Before(v.Before) {
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -59,7 +59,7 @@
 	nonce      string
 	host       string
 	first      bool // first reports whether no earlier attempt used the key.
-	settled    *claimer.Settled
+	settled    *claimer.Settlement
 	at         time.Time
 	end        time.Time
 	generation int
--- a/runner/loop.go
+++ b/runner/loop.go
@@ -29,7 +29,7 @@
 	stopReading map[string]context.CancelFunc // stopReading is used by the control goroutine only.
 
 	mu             sync.Mutex
-	claimWaiters   map[string]chan claimer.Settled
+	claimWaiters   map[string]chan claimer.Settlement
 	publishWaiters map[string]chan configurer.Result
 }
 
@@ -41,7 +41,7 @@
 		calls:          make(chan func(time.Time, *controller.Node)),
 		ctx:            ctx,
 		stopReading:    make(map[string]context.CancelFunc),
-		claimWaiters:   make(map[string]chan claimer.Settled),
+		claimWaiters:   make(map[string]chan claimer.Settlement),
 		publishWaiters: make(map[string]chan configurer.Result),
 	}
 }
@@ -208,7 +208,7 @@
 	}
 }
 
-func (l *loop) resolveClaim(s claimer.Settled) {
+func (l *loop) resolveClaim(s claimer.Settlement) {
 	l.mu.Lock()
 	ch := l.claimWaiters[s.Nonce]
 	delete(l.claimWaiters, s.Nonce)
@@ -219,8 +219,8 @@
 }
 
 // Claim implements server.Claims.
-func (l *loop) Claim(ctx context.Context, r claimer.Request, deadline time.Time) claimer.Settled {
-	ch := make(chan claimer.Settled, 1)
+func (l *loop) Claim(ctx context.Context, r claimer.Request, deadline time.Time) claimer.Settlement {
+	ch := make(chan claimer.Settlement, 1)
 	l.mu.Lock()
 	l.claimWaiters[r.Nonce] = ch
 	l.mu.Unlock()
@@ -230,14 +230,14 @@
 		return settled
 	case <-ctx.Done():
 	case <-l.ctx.Done():
-		return claimer.Settled{Nonce: r.Nonce, Verdict: claimer.VerdictUnavailable}
+		return claimer.Settlement{Nonce: r.Nonce, Verdict: claimer.VerdictUnavailable}
 	}
 	l.post(controller.ClaimAbandoned{Nonce: r.Nonce})
-	var settled claimer.Settled
+	var settled claimer.Settlement
 	select {
 	case settled = <-ch:
 	case <-l.ctx.Done():
-		return claimer.Settled{Nonce: r.Nonce, Verdict: claimer.VerdictUnavailable}
+		return claimer.Settlement{Nonce: r.Nonce, Verdict: claimer.VerdictUnavailable}
 	}
 	if settled.Verdict == claimer.VerdictWon { // the request was not and will not be sent
 		l.Finish(claimer.Outcome{Key: r.Key, Nonce: r.Nonce, State: claimer.StateNotRun})
--- a/server/filters.go
+++ b/server/filters.go
@@ -125,7 +125,7 @@
 }
 
 // claimNotWon returns the outcome of a request whose claim was not won.
-func (s *Server) claimNotWon(x *Exchange, settled claimer.Settled) Outcome {
+func (s *Server) claimNotWon(x *Exchange, settled claimer.Settlement) Outcome {
 	switch settled.Verdict {
 	case claimer.VerdictDone:
 		return replay(x, settled.Answer)
--- a/server/server.go
+++ b/server/server.go
@@ -32,7 +32,7 @@
 // Claims coordinates requests that may run only once with the other hosts.
 type Claims interface {
 	// Claim requests a claim and waits for the verdict, at most until deadline.
-	Claim(ctx context.Context, r claimer.Request, deadline time.Time) claimer.Settled
+	Claim(ctx context.Context, r claimer.Request, deadline time.Time) claimer.Settlement
 	// Finish records the outcome of a claimed request.
 	Finish(out claimer.Outcome)
 }
