--- a/claimer/claimant.go
+++ b/claimer/claimant.go
@@ -19,10 +19,10 @@
 
 // Settlement is the verdict for one claim.
 type Settlement struct {
-	Nonce   string
-	Verdict Verdict
-	Answer  *Answer
-	Before  time.Time // Before is the time before which the request of a won claim must be sent.
+	Nonce          string
+	Verdict        Verdict
+	Answer         *Answer
+	DispatchBefore time.Time // DispatchBefore is the time before which the request of a won claim must be sent.
 }
 
 // Message is a claimant's message to the owner of a range: a request or an outcome.
@@ -105,7 +105,7 @@
 			return c.abandon(now, o)
 		}
 		o.won = true
-		return ClaimantEffects{Settled: []Settlement{{Nonce: r.Nonce, Verdict: VerdictWon, Before: o.dispatchBefore}}}
+		return ClaimantEffects{Settled: []Settlement{{Nonce: r.Nonce, Verdict: VerdictWon, DispatchBefore: o.dispatchBefore}}}
 	case ResultQueued:
 		o.queued = true
 		return ClaimantEffects{}
--- a/controller/simhost_test.go
+++ b/controller/simhost_test.go
@@ -265,7 +265,7 @@
 		a.settled, a.end = &claimer.Settlement{Nonce: a.nonce, Verdict: verdict}, s.now
 		h.handle(ClaimFinished{Outcome: claimer.Outcome{Key: a.key, Nonce: a.nonce, State: st}})
 	}
-	if !s.now.Before(v.Before) {
+	if !s.now.Before(v.DispatchBefore) {
 		finish(claimer.StateNotRun, claimer.VerdictUnavailable)
 		return
 	}
--- a/server/filters.go
+++ b/server/filters.go
@@ -101,7 +101,7 @@
 		if settled.Verdict != claimer.VerdictWon {
 			return s.claimNotWon(x, settled)
 		}
-		x.claimExpiry = settled.Before
+		x.claimExpiry = settled.DispatchBefore
 		rec := &answerCapture{ResponseWriter: x.writer, limit: x.Snapshot.Document.Claims.KeptBytes}
 		x.writer = rec
 		// A claimed request runs to completion even if the caller disconnects.
