--- a/controller/membership.go
+++ b/controller/membership.go
@@ -372,7 +372,7 @@
 	if s == nil || isClaims(r.Stream) || r.Record.Offset != s.fold.Next() || !s.fold.Ready() {
 		return
 	}
-	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.Raw{r.Record}})
+	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.RawRecord{r.Record}})
 	// The record may be this host's own. The next read of the log starts after it, so
 	// the queue must see it here, or it would wait for it forever.
 	s.queue.StreamRead(time.Time{}, false, applied)
--- a/controller/node.go
+++ b/controller/node.go
@@ -272,7 +272,7 @@
 // maxRelayedRecords bounds the number of records in a message.
 const maxRelayedRecords = 16
 
-func (n *Node) relayRecords(stream string, records []folder.Raw, from uint64) {
+func (n *Node) relayRecords(stream string, records []folder.RawRecord, from uint64) {
 	m := &messenger.Message{}
 	for _, r := range records {
 		if r.Offset >= from && len(m.Records) < maxRelayedRecords {
--- a/controller/records_test.go
+++ b/controller/records_test.go
@@ -35,7 +35,7 @@
 	assert.Assert(t, ok)
 	n.Handle(now, AppendDone{Stream: stream, Sequence: rec.Sequence})
 	assert.Equal(t, s.queue.Len(), 1)
-	relayed := folder.Raw{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
+	relayed := folder.RawRecord{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
 	n.Handle(now, PeerMessage{From: "b", Message: &messenger.Message{Records: []messenger.StreamRecord{{Stream: stream, Record: relayed}}}})
 	assert.Equal(t, s.queue.Len(), 0)
 }
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -47,7 +47,7 @@
 
 type stream struct {
 	earliest uint64
-	records  []folder.Raw
+	records  []folder.RawRecord
 	changed  chan struct{}
 }
 
@@ -80,7 +80,7 @@
 	s := l.stream(name)
 	if n := len(s.records) - keep; n > 0 {
 		s.earliest += uint64(n)
-		s.records = append([]folder.Raw(nil), s.records[n:]...)
+		s.records = append([]folder.RawRecord(nil), s.records[n:]...)
 	}
 }
 
@@ -94,7 +94,7 @@
 func (l *Log) append(name string, body []byte) uint64 {
 	s := l.stream(name)
 	offset := s.earliest + uint64(len(s.records))
-	s.records = append(s.records, folder.Raw{Offset: offset, Time: l.opts.Now(), Body: body})
+	s.records = append(s.records, folder.RawRecord{Offset: offset, Time: l.opts.Now(), Body: body})
 	close(s.changed)
 	s.changed = make(chan struct{})
 	l.appends++
--- a/folder/folder_test.go
+++ b/folder/folder_test.go
@@ -19,20 +19,20 @@
 
 var start = time.Date(2026, 3, 12, 8, 0, 0, 123456789, time.UTC)
 
-func raw(offset uint64, writer string, seq uint64, entries ...Entry) Raw {
+func raw(offset uint64, writer string, seq uint64, entries ...Entry) RawRecord {
 	if entries == nil {
 		entries = []Entry{NewEntry("E", 1)}
 	}
-	return Raw{Offset: offset, Time: start.Add(time.Duration(offset) * time.Second), Body: Record{Writer: writer, Sequence: seq, Entries: entries}.Encode()}
+	return RawRecord{Offset: offset, Time: start.Add(time.Duration(offset) * time.Second), Body: Record{Writer: writer, Sequence: seq, Entries: entries}.Encode()}
 }
 
 // TestDuplicatesAreDropped checks that a record that is appended or fed again is applied once.
 func TestDuplicatesAreDropped(t *testing.T) {
 	c := &counter{n: map[string]int{}}
 	s := NewStream("s", c)
-	s.Feed(Page{Next: 4, Records: []Raw{raw(0, "a", 1), raw(1, "a", 2), raw(2, "a", 1), raw(3, "b", 1)}})
+	s.Feed(Page{Next: 4, Records: []RawRecord{raw(0, "a", 1), raw(1, "a", 2), raw(2, "a", 1), raw(3, "b", 1)}})
 	assert.DeepEqual(t, c.n, map[string]int{"a": 2, "b": 1})
-	s.Feed(Page{Next: 4, Records: []Raw{raw(0, "a", 1)}}) // the same page again
+	s.Feed(Page{Next: 4, Records: []RawRecord{raw(0, "a", 1)}}) // the same page again
 	assert.DeepEqual(t, c.n, map[string]int{"a": 2, "b": 1})
 	assert.Assert(t, s.Ready())
 }
@@ -41,8 +41,8 @@
 // as a reader from the beginning and drops duplicates of records before the checkpoint.
 func TestStartFromCheckpoint(t *testing.T) {
 	early := NewStream("s", &counter{n: map[string]int{}})
-	early.Feed(Page{Next: 3, Records: []Raw{raw(0, "a", 1), raw(1, "b", 1), raw(2, "a", 2)}})
-	tail := []Raw{raw(3, "b", 2), raw(4, "c", 1, early.Checkpoint(time.Hour)), raw(5, "a", 2), raw(6, "b", 3)}
+	early.Feed(Page{Next: 3, Records: []RawRecord{raw(0, "a", 1), raw(1, "b", 1), raw(2, "a", 2)}})
+	tail := []RawRecord{raw(3, "b", 2), raw(4, "c", 1, early.Checkpoint(time.Hour)), raw(5, "a", 2), raw(6, "b", 3)}
 	early.Feed(Page{Next: 7, Records: tail})
 
 	late := NewStream("s", &counter{n: map[string]int{}})
@@ -57,17 +57,17 @@
 // TestGapNeedsCheckpoint checks that records after a gap are not applied before a checkpoint.
 func TestGapNeedsCheckpoint(t *testing.T) {
 	s := NewStream("s", &counter{n: map[string]int{}})
-	s.Feed(Page{Next: 1, Records: []Raw{raw(0, "a", 1)}})
-	s.Feed(Page{Earliest: 5, Next: 6, Records: []Raw{raw(5, "a", 6)}})
+	s.Feed(Page{Next: 1, Records: []RawRecord{raw(0, "a", 1)}})
+	s.Feed(Page{Earliest: 5, Next: 6, Records: []RawRecord{raw(5, "a", 6)}})
 	assert.Equal(t, s.state.(*counter).n["a"], 1)
 }
 
 // TestAdoptRejectsOlderSnapshot guards against moving the state back to a lower offset.
 func TestAdoptRejectsOlderSnapshot(t *testing.T) {
 	s := NewStream("s", &counter{n: map[string]int{}})
-	s.Feed(Page{Next: 1, Records: []Raw{raw(0, "a", 1)}})
+	s.Feed(Page{Next: 1, Records: []RawRecord{raw(0, "a", 1)}})
 	old := s.Snapshot(time.Hour)
-	s.Feed(Page{Next: 2, Records: []Raw{raw(1, "a", 2)}})
+	s.Feed(Page{Next: 2, Records: []RawRecord{raw(1, "a", 2)}})
 	assert.Assert(t, !s.Adopt(old))
 	fresh := NewStream("s", &counter{n: map[string]int{}})
 	assert.Assert(t, fresh.Adopt(s.Snapshot(time.Hour)))
@@ -81,7 +81,7 @@
 	f.Add([]byte{0xa1, 0x67, 'E', 'n', 't', 'r', 'i', 'e', 's', 0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s := NewStream("s", &counter{n: map[string]int{}})
-		s.Feed(Page{Earliest: 1, Next: 3, Records: []Raw{{Offset: 1, Body: body}, {Offset: 2, Body: body}}})
-		s.Feed(Page{Next: 1, Records: []Raw{{Offset: 3, Body: body}}})
+		s.Feed(Page{Earliest: 1, Next: 3, Records: []RawRecord{{Offset: 1, Body: body}, {Offset: 2, Body: body}}})
+		s.Feed(Page{Next: 1, Records: []RawRecord{{Offset: 3, Body: body}}})
 	})
 }
--- a/folder/record.go
+++ b/folder/record.go
@@ -31,8 +31,8 @@
 	Entries  []Entry
 }
 
-// Raw is an encoded record as read from the log.
-type Raw struct {
+// RawRecord is an encoded record as read from the log.
+type RawRecord struct {
 	Offset uint64
 	Time   time.Time // Time is when the record was appended, by the log's clock.
 	Body   []byte
@@ -42,7 +42,7 @@
 type Page struct {
 	Earliest uint64 // Earliest is the lowest offset that the log retains.
 	Next     uint64 // Next is the offset of the next append.
-	Records  []Raw
+	Records  []RawRecord
 }
 
 // Position is the position of a record in the log.
--- a/folder/stream.go
+++ b/folder/stream.go
@@ -50,7 +50,7 @@
 	writers     map[string]lastRecord
 	initialized bool // initialized is set once the state begins at offset 0 or at a checkpoint.
 	ready       bool // ready is set once the state has reached the end of the log as of some read.
-	buffered    []Raw
+	buffered    []RawRecord
 	lastTime    time.Time
 }
 
@@ -110,7 +110,7 @@
 
 // bufferUntilCheckpoint buffers a record. When the record holds a checkpoint that covers all
 // offsets before the buffer, it restores the checkpoint and applies the records after it.
-func (s *Stream) bufferUntilCheckpoint(raw Raw) []Applied {
+func (s *Stream) bufferUntilCheckpoint(raw RawRecord) []Applied {
 	s.next = raw.Offset + 1
 	s.buffered = append(s.buffered, raw)
 	cp, ok := findCheckpoint(raw)
@@ -131,7 +131,7 @@
 	return out
 }
 
-func findCheckpoint(raw Raw) (Checkpoint, bool) {
+func findCheckpoint(raw RawRecord) (Checkpoint, bool) {
 	r, err := DecodeRecord(raw.Body)
 	if err != nil {
 		return Checkpoint{}, false
@@ -145,7 +145,7 @@
 	return Checkpoint{}, false
 }
 
-func (s *Stream) apply(out []Applied, raw Raw) []Applied {
+func (s *Stream) apply(out []Applied, raw RawRecord) []Applied {
 	s.next = raw.Offset + 1
 	r, err := DecodeRecord(raw.Body)
 	if err != nil {
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -75,7 +75,7 @@
 // StreamRecord is a record of one stream of the log.
 type StreamRecord struct {
 	Stream string
-	Record folder.Raw
+	Record folder.RawRecord
 }
 
 // InFlight holds a host's requests in flight at all upstreams. Upstreams that are left out have none.
