--- a/keeper/store.go
+++ b/keeper/store.go
@@ -40,9 +40,9 @@
 	MinChance   float64 // MinChance is the minimum Turn.Chance for an export; default 0.05.
 }
 
-// LongestWait bounds the time that a request waits at an upstream before its import begins. After
+// MaxImportWait bounds the time that a request waits at an upstream before its import begins. After
 // a longer wait the upstream computes the prompt instead.
-const LongestWait = 5 * time.Second
+const MaxImportWait = 5 * time.Second
 
 // maxDeliveryAndImport bounds the delivery of a request to an upstream plus the import.
 const maxDeliveryAndImport = 7 * time.Second
@@ -102,7 +102,7 @@
 		opts.ExportShare = 0.3
 	}
 	if opts.MaxReadTime == 0 {
-		opts.MaxReadTime = LongestWait + maxDeliveryAndImport
+		opts.MaxReadTime = MaxImportWait + maxDeliveryAndImport
 	}
 	if opts.MinChance == 0 {
 		opts.MinChance = 0.05
--- a/server/forward.go
+++ b/server/forward.go
@@ -241,7 +241,7 @@
 	}
 	if decision.Restore > 0 {
 		req.Restore = d.server.opts.CacheIndex.Segments(d.server.opts.Timer.Now(), up.Name, x.chain, decision.Restore)
-		req.RestoreWithin = int(keeper.LongestWait.Milliseconds())
+		req.RestoreWithin = int(keeper.MaxImportWait.Milliseconds())
 	}
 	if len(d.sentText) > 0 {
 		d.continueFrom(&req)
