--- a/experimenter/decisions.go
+++ b/experimenter/decisions.go
@@ -310,7 +310,7 @@
 			s.stores[i].Sealed(s.clock(), end, 1, len(x.Blocks), x.From, x.Parent)
 			s.after(keptDelay, func() {
 				for _, h := range s.hosts {
-					h.index.SetKept(keeper.Kept{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
+					h.index.SetKept(keeper.KeptSegment{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
 				}
 			})
 		})
--- a/keeper/index.go
+++ b/keeper/index.go
@@ -141,8 +141,8 @@
 	x.ringPos = (x.ringPos + 1) % len(x.ring)
 }
 
-// Kept is a stored segment as reported by an issuer.
-type Kept struct {
+// KeptSegment is a stored segment as reported by an issuer.
+type KeptSegment struct {
 	Upstream   string
 	Wire       [16]byte // Wire is the raw name of the last block.
 	Generation uint64
@@ -150,7 +150,7 @@
 }
 
 // SetKept adds or replaces a stored segment.
-func (x *Index) SetKept(k Kept) {
+func (x *Index) SetKept(k KeptSegment) {
 	id, name := x.ID(k.Upstream), shortName(k.Wire)
 	seg := keptSegment{upstream: id, generation: k.Generation, from: uint16(k.From), wire: k.Wire}
 	list := x.kept[name]
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -66,8 +66,8 @@
 func TestKeptOnlyWhileTold(t *testing.T) {
 	x := NewIndex(IndexOptions{})
 	c := NewChain("s", textOf(10, "d"))
-	x.SetKept(Kept{Upstream: "a", Wire: c.Raw(3), Generation: 1, From: 0})
-	x.SetKept(Kept{Upstream: "a", Wire: c.Raw(7), Generation: 2, From: 4})
+	x.SetKept(KeptSegment{Upstream: "a", Wire: c.Raw(3), Generation: 1, From: 0})
+	x.SetKept(KeptSegment{Upstream: "a", Wire: c.Raw(7), Generation: 2, From: 4})
 	var l Lookup
 	x.Lookup(start, c, &l)
 	assert.Equal(t, len(l.Found), 0) // No lease was granted yet.
@@ -192,7 +192,7 @@
 			for j := range wire {
 				wire[j] = byte(rng.Uint32())
 			}
-			x.SetKept(Kept{Upstream: fmt.Sprint(i % 22), Wire: wire, Generation: uint64(i)})
+			x.SetKept(KeptSegment{Upstream: fmt.Sprint(i % 22), Wire: wire, Generation: uint64(i)})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -93,7 +93,7 @@
 type Change struct {
 	Version uint64
 	Removed bool
-	Kept    Kept
+	Kept    KeptSegment
 }
 
 // NewStore returns a Store without segments.
@@ -362,7 +362,7 @@
 	s.changes = append(s.changes, Change{
 		Version: s.version,
 		Removed: removed,
-		Kept:    Kept{Wire: name, Generation: seg.generation, From: seg.from},
+		Kept:    KeptSegment{Wire: name, Generation: seg.generation, From: seg.from},
 	})
 	if len(s.changes) > maxChanges {
 		s.changes = append([]Change(nil), s.changes[len(s.changes)-maxChanges/2:]...)
@@ -375,7 +375,7 @@
 	if version > s.version || version < s.version && (len(s.changes) == 0 || s.changes[0].Version > version+1) {
 		for name, seg := range s.segments {
 			if seg.state == SegmentSealed {
-				changes = append(changes, Change{Version: s.version, Kept: Kept{Wire: name, Generation: seg.generation, From: seg.from}})
+				changes = append(changes, Change{Version: s.version, Kept: KeptSegment{Wire: name, Generation: seg.generation, From: seg.from}})
 			}
 		}
 		return changes, true
