--- a/experimenter/host.go
+++ b/experimenter/host.go
@@ -146,7 +146,7 @@
 	h.index.Lookup(h.sim.clock(), t.chain, &h.lookup)
 	req.Known = h.lookup.Known * keeper.TokensPerBlock
 	h.holdings = h.holdings[:0]
-	for _, f := range h.lookup.Found {
+	for _, f := range h.lookup.Matches {
 		h.holdings = append(h.holdings, router.Holding{
 			Target: int(f.Upstream), Cached: f.Cached * keeper.TokensPerBlock, Kept: f.Kept * keeper.TokensPerBlock,
 		})
--- a/keeper/index.go
+++ b/keeper/index.go
@@ -221,13 +221,13 @@
 
 // Lookup is the result of Index.Lookup. It may be reused.
 type Lookup struct {
-	Found []Match
-	Known int // Known is the number of leading blocks that some upstream has computed before.
+	Matches []Match
+	Known   int // Known is the number of leading blocks that some upstream has computed before.
 }
 
 // Lookup fills l with the matches for a prompt, the longest first.
 func (x *Index) Lookup(now time.Time, c Chain, l *Lookup) {
-	l.Found, l.Known = l.Found[:0], 0
+	l.Matches, l.Known = l.Matches[:0], 0
 	for i := c.Len() - 1; i >= 0; i-- {
 		name := c.At(i)
 		if e, ok := x.hot[name]; ok {
@@ -248,13 +248,13 @@
 }
 
 func (l *Lookup) addCached(id uint16, blocks int) {
-	for i := range l.Found {
-		if l.Found[i].Upstream == id {
-			l.Found[i].Cached = max(l.Found[i].Cached, blocks)
+	for i := range l.Matches {
+		if l.Matches[i].Upstream == id {
+			l.Matches[i].Cached = max(l.Matches[i].Cached, blocks)
 			return
 		}
 	}
-	l.Found = append(l.Found, Match{Upstream: id, Cached: blocks})
+	l.Matches = append(l.Matches, Match{Upstream: id, Cached: blocks})
 }
 
 // covers reports whether the stored segments of an upstream cover the first n blocks of a prompt.
@@ -270,13 +270,13 @@
 }
 
 func (l *Lookup) addKept(id uint16, blocks int) {
-	for i := range l.Found {
-		if l.Found[i].Upstream == id {
-			l.Found[i].Kept = max(l.Found[i].Kept, blocks)
+	for i := range l.Matches {
+		if l.Matches[i].Upstream == id {
+			l.Matches[i].Kept = max(l.Matches[i].Kept, blocks)
 			return
 		}
 	}
-	l.Found = append(l.Found, Match{Upstream: id, Kept: blocks})
+	l.Matches = append(l.Matches, Match{Upstream: id, Kept: blocks})
 }
 
 // Ref identifies a segment in an order to restore or to free it.
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -54,10 +54,10 @@
 	var l Lookup
 	x.Lookup(start, longer, &l)
 	assert.Equal(t, l.Known, 10)
-	assert.DeepEqual(t, l.Found, []Match{{Upstream: x.ID("a"), Cached: 10}})
+	assert.DeepEqual(t, l.Matches, []Match{{Upstream: x.ID("a"), Cached: 10}})
 	x.Reset("a")
 	x.Lookup(start, longer, &l)
-	assert.Equal(t, len(l.Found), 0)
+	assert.Equal(t, len(l.Matches), 0)
 	assert.Equal(t, l.Known, 10) // Reset does not affect which blocks are known.
 }
 
@@ -70,20 +70,20 @@
 	x.SetKept(KeptSegment{Upstream: "a", Wire: c.Raw(7), Generation: 2, From: 4})
 	var l Lookup
 	x.Lookup(start, c, &l)
-	assert.Equal(t, len(l.Found), 0) // No lease was granted yet.
+	assert.Equal(t, len(l.Matches), 0) // No lease was granted yet.
 	x.Refresh("a", start.Add(KeptLease))
 	x.Lookup(start, c, &l)
-	assert.DeepEqual(t, l.Found, []Match{{Upstream: x.ID("a"), Kept: 8}})
+	assert.DeepEqual(t, l.Matches, []Match{{Upstream: x.ID("a"), Kept: 8}})
 	refs := x.Segments(start, "a", c, 8)
 	assert.Equal(t, len(refs), 2)
 	assert.Equal(t, refs[0].Generation, uint64(1))
 	late := start.Add(KeptLease + 1)
 	x.Lookup(late, c, &l)
-	assert.Equal(t, len(l.Found), 0)
+	assert.Equal(t, len(l.Matches), 0)
 	assert.Assert(t, x.Segments(late, "a", c, 8) == nil)
 	x.RemoveKept("a", c.Raw(3))
 	x.Lookup(start, c, &l)
-	assert.Equal(t, len(l.Found), 0) // The preceding segment is missing.
+	assert.Equal(t, len(l.Matches), 0) // The preceding segment is missing.
 }
 
 // TestNoReferenceToFreed guards against references to freed segments by hosts that query late,
--- a/runner/knowledge.go
+++ b/runner/knowledge.go
@@ -47,12 +47,12 @@
 	c.index.Lookup(now, chain, &c.lookup)
 	req.Known = c.lookup.Known * keeper.TokensPerBlock
 	c.countTurn(workspace, c.lookup.Known > 0)
-	if len(c.lookup.Found) == 0 {
+	if len(c.lookup.Matches) == 0 {
 		return
 	}
 	for i := range pool.Targets {
 		id := c.index.ID(pool.Targets[i].Name)
-		for _, f := range c.lookup.Found {
+		for _, f := range c.lookup.Matches {
 			if f.Upstream == id {
 				req.Holdings = append(req.Holdings, router.Holding{
 					Target: i,
