--- a/experimenter/host.go
+++ b/experimenter/host.go
@@ -242,12 +242,12 @@
 		return
 	}
 	name := engineName(i)
-	h.index.Placed(s.clock(), name, chain)
+	h.index.AddPlacement(s.clock(), name, chain)
 	if !first && !s.policy.NoGossip {
 		s.after(50*time.Millisecond, func() {
 			for _, o := range s.hosts {
 				if o != h {
-					o.index.PlacedEnd(s.clock(), name, chain.At(n-1))
+					o.index.AddPlacementEnd(s.clock(), name, chain.At(n-1))
 				}
 			}
 		})
--- a/keeper/index.go
+++ b/keeper/index.go
@@ -90,9 +90,9 @@
 	x.clearKept(id)
 }
 
-// Placed records that an upstream has computed a prompt. It inserts the last block and those at
+// AddPlacement records that an upstream has computed a prompt. It inserts the last block and those at
 // powers of two, so that lookups of prompts with a shared prefix find a match.
-func (x *Index) Placed(now time.Time, upstream string, c Chain) {
+func (x *Index) AddPlacement(now time.Time, upstream string, c Chain) {
 	id := x.ID(upstream)
 	n := c.Len()
 	if n == 0 {
@@ -104,8 +104,8 @@
 	x.insertHot(now, id, c.At(n-1))
 }
 
-// PlacedEnd records a placement by another host, which reports only the last block.
-func (x *Index) PlacedEnd(now time.Time, upstream string, end Name) {
+// AddPlacementEnd records a placement by another host, which reports only the last block.
+func (x *Index) AddPlacementEnd(now time.Time, upstream string, end Name) {
 	x.insertHot(now, x.ID(upstream), end)
 }
 
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -50,7 +50,7 @@
 	x := NewIndex(IndexOptions{})
 	c := NewChain("s", textOf(10, "c"))
 	longer := NewChain("s", textOf(14, "c"))
-	x.Placed(start, "a", c)
+	x.AddPlacement(start, "a", c)
 	var l Lookup
 	x.Lookup(start, longer, &l)
 	assert.Equal(t, l.Known, 10)
@@ -157,10 +157,10 @@
 func BenchmarkLookup(b *testing.B) {
 	x := NewIndex(IndexOptions{})
 	for i := range 10000 {
-		x.Placed(start, fmt.Sprint(i%22), NewChain("s", textOf(16, fmt.Sprint(i))))
+		x.AddPlacement(start, fmt.Sprint(i%22), NewChain("s", textOf(16, fmt.Sprint(i))))
 	}
 	c := NewChain("s", textOf(128, "x"))
-	x.Placed(start, "1", c)
+	x.AddPlacement(start, "1", c)
 	var l Lookup
 	b.ReportAllocs()
 	for b.Loop() {
--- a/runner/knowledge.go
+++ b/runner/knowledge.go
@@ -95,7 +95,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.index.Placed(now, p.Upstream, p.Chain)
+	c.index.AddPlacement(now, p.Upstream, p.Chain)
 	from := c.index.KeptBlocks(p.Upstream, p.Chain)
 	chance := 0.5
 	if counts := c.continuations[p.Workspace]; counts != nil {
@@ -139,7 +139,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range list {
-		c.index.PlacedEnd(now, p.Upstream, p.End)
+		c.index.AddPlacementEnd(now, p.Upstream, p.End)
 	}
 }
 
