--- a/experimenter/decisions.go
+++ b/experimenter/decisions.go
@@ -193,7 +193,7 @@
 	for j, e := range s.engines {
 		name := engineName(j)
 		h.index.ID(name)
-		h.index.Refresh(name, simEpoch.Add(10*s.spec.For))
+		h.index.ExtendLease(name, simEpoch.Add(10*s.spec.For))
 		h.targets = append(h.targets, router.Target{
 			Name: name, Hash: router.NameHash(name), Usable: true, Near: e.zone == h.zone,
 			Slots: float64(s.spec.Slots), PrefillRate: s.spec.PrefillRate, LinkRate: s.spec.LinkRate,
--- a/keeper/index.go
+++ b/keeper/index.go
@@ -204,8 +204,8 @@
 	return keptSegment{}, false
 }
 
-// Refresh allows the stored segments of an upstream to be used until a time.
-func (x *Index) Refresh(upstream string, until time.Time) {
+// ExtendLease allows the stored segments of an upstream to be used until a time.
+func (x *Index) ExtendLease(upstream string, until time.Time) {
 	u := &x.upstreams[x.ID(upstream)]
 	if until.After(u.keptUntil) {
 		u.keptUntil = until
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -71,7 +71,7 @@
 	var l Lookup
 	x.Lookup(start, c, &l)
 	assert.Equal(t, len(l.Matches), 0) // No lease was granted yet.
-	x.Refresh("a", start.Add(KeptLease))
+	x.ExtendLease("a", start.Add(KeptLease))
 	x.Lookup(start, c, &l)
 	assert.DeepEqual(t, l.Matches, []Match{{Upstream: x.ID("a"), Kept: 8}})
 	refs := x.Segments(start, "a", c, 8)
@@ -139,7 +139,7 @@
 					}
 				}
 				h.version = st.Version()
-				h.index.Refresh("a", h.asked.Add(KeptLease))
+				h.index.ExtendLease("a", h.asked.Add(KeptLease))
 			}
 			for name, g := range freed {
 				for _, h := range hosts {
--- a/runner/knowledge.go
+++ b/runner/knowledge.go
@@ -132,7 +132,7 @@
 			c.index.SetKept(change.Kept)
 		}
 	}
-	c.index.Refresh(a.Upstream, a.Until)
+	c.index.ExtendLease(a.Upstream, a.Until)
 }
 
 func (c *cacheIndex) addPlacements(now time.Time, list []messenger.Placement) {
