--- a/controller/stores.go
+++ b/controller/stores.go
@@ -186,7 +186,7 @@
 	switch {
 	case holder == n.opts.Self.Host:
 		if gr := n.groups[g]; gr != nil && gr.stores[t.Upstream] != nil {
-			gr.stores[t.Upstream].plan.Turn(now, t)
+			gr.stores[t.Upstream].plan.QueueTurn(now, t)
 		}
 	case holder != "" && from == n.opts.Self.Host:
 		n.pendingTurns[holder] = append(n.pendingTurns[holder], t)
--- a/experimenter/host.go
+++ b/experimenter/host.go
@@ -274,7 +274,7 @@
 		tn.Blocks = append(tn.Blocks, chain.Raw(b))
 	}
 	s.blockOwners[chain.Raw(n-1)] = blockOwner{conv: t.conv.id, tokens: n * keeper.TokensPerBlock}
-	s.stores[i].Turn(s.clock(), tn)
+	s.stores[i].QueueTurn(s.clock(), tn)
 }
 
 // recordServed adds an answered request to the results.
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -110,7 +110,7 @@
 				turn.Blocks = append(turn.Blocks, c.Raw(i))
 			}
 			chains[c.Raw(c.Len()-1)] = c
-			st.Turn(now, turn)
+			st.QueueTurn(now, turn)
 			plan := st.Tick(now)
 			for _, e := range plan.Export {
 				generation++
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -135,9 +135,9 @@
 // Version returns the version of the latest change.
 func (s *Store) Version() uint64 { return s.version }
 
-// Turn queues the blocks of a turn for export, unless they are stored already, the preceding
+// QueueTurn queues the blocks of a turn for export, unless they are stored already, the preceding
 // segment is not sealed, or a next turn is unlikely.
-func (s *Store) Turn(now time.Time, t Turn) {
+func (s *Store) QueueTurn(now time.Time, t Turn) {
 	if len(t.Blocks) == 0 || t.Chance < s.opts.MinChance || s.opts.Capacity == 0 {
 		return
 	}
