--- a/controller/stores.go
+++ b/controller/stores.go
@@ -173,7 +173,7 @@
 	switch e.Kind {
 	case wire.SegmentSealed:
 		parent, _ := keeper.ParseWire(e.Parent)
-		st.plan.Sealed(now, raw, e.Generation, e.Blocks, e.From, parent)
+		st.plan.SegmentReported(now, raw, e.Generation, e.Blocks, e.From, parent)
 	case wire.SegmentFreed:
 		st.plan.Gone(raw, e.Generation)
 	}
--- a/experimenter/decisions.go
+++ b/experimenter/decisions.go
@@ -307,7 +307,7 @@
 	s.after(3*d, func() {
 		e.storedTokens[owner.conv] = max(e.storedTokens[owner.conv], owner.tokens)
 		s.after(s.eventDelay(), func() {
-			s.stores[i].Sealed(s.clock(), end, 1, len(x.Blocks), x.From, x.Parent)
+			s.stores[i].SegmentReported(s.clock(), end, 1, len(x.Blocks), x.From, x.Parent)
 			s.after(keptDelay, func() {
 				for _, h := range s.hosts {
 					h.index.SetKept(keeper.KeptSegment{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -114,7 +114,7 @@
 			plan := st.Tick(now)
 			for _, e := range plan.Export {
 				generation++
-				st.Sealed(now, e.Blocks[len(e.Blocks)-1], generation, len(e.Blocks), e.From, e.Parent)
+				st.SegmentReported(now, e.Blocks[len(e.Blocks)-1], generation, len(e.Blocks), e.From, e.Parent)
 			}
 			for _, r := range plan.Free {
 				freed[r.Wire] = r.Generation
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -309,9 +309,9 @@
 	return refs
 }
 
-// Sealed processes an upstream's report that a segment is complete. It adds a segment that is not
+// SegmentReported processes an upstream's report that a segment is complete. It adds a segment that is not
 // known, as after a change of the issuer.
-func (s *Store) Sealed(now time.Time, name [16]byte, generation uint64, blocks, from int, parent [16]byte) {
+func (s *Store) SegmentReported(now time.Time, name [16]byte, generation uint64, blocks, from int, parent [16]byte) {
 	seg := s.segments[name]
 	if seg == nil {
 		seg = &segment{blocks: blocks, from: from, parent: parent, chance: s.opts.MinChance, lastUsed: now}
