--- a/controller/stores.go
+++ b/controller/stores.go
@@ -175,7 +175,7 @@
 		parent, _ := keeper.ParseWire(e.Parent)
 		st.plan.SegmentReported(now, raw, e.Generation, e.Blocks, e.From, parent)
 	case wire.SegmentFreed:
-		st.plan.Gone(raw, e.Generation)
+		st.plan.SegmentRemoved(raw, e.Generation)
 	}
 }
 
--- a/experimenter/decisions.go
+++ b/experimenter/decisions.go
@@ -329,7 +329,7 @@
 func (s *simulation) free(i int, r keeper.Ref) {
 	owner := s.blockOwners[r.Wire]
 	delete(s.engines[i].storedTokens, owner.conv)
-	s.stores[i].Gone(r.Wire, r.Generation)
+	s.stores[i].SegmentRemoved(r.Wire, r.Generation)
 	for _, h := range s.hosts {
 		h.index.RemoveKept(engineName(i), r.Wire)
 	}
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -118,7 +118,7 @@
 			}
 			for _, r := range plan.Free {
 				freed[r.Wire] = r.Generation
-				st.Gone(r.Wire, r.Generation)
+				st.SegmentRemoved(r.Wire, r.Generation)
 			}
 			assert.Assert(t, st.Used() <= 40)
 			for _, h := range hosts {
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -329,8 +329,8 @@
 	s.recordChange(false, name, seg)
 }
 
-// Gone processes an upstream's report that a segment is not in its store any more.
-func (s *Store) Gone(name [16]byte, generation uint64) {
+// SegmentRemoved processes an upstream's report that a segment is not in its store any more.
+func (s *Store) SegmentRemoved(name [16]byte, generation uint64) {
 	seg := s.segments[name]
 	if seg == nil || seg.generation != generation {
 		return
