--- a/controller/orders.go
+++ b/controller/orders.go
@@ -96,7 +96,7 @@
 	doc := n.config.Document()
 	for i := range doc.Upstreams {
 		if doc.Upstreams[i].Name == o.Upstream {
-			n.emit(SendOrder{Upstream: o.Upstream, Address: doc.Upstreams[i].Address, Order: o.Order, Until: n.holder.Until(groupLease(g))})
+			n.emit(SendOrder{Upstream: o.Upstream, Address: doc.Upstreams[i].Address, Order: o.Order, Until: n.holder.ValidUntil(groupLease(g))})
 			return
 		}
 	}
--- a/leaser/holder.go
+++ b/leaser/holder.go
@@ -234,9 +234,9 @@
 	return []folder.Entry{folder.NewEntry(KindRelease, Release{Leases: refs})}
 }
 
-// Until returns the time at which this host must stop acting on a lease; the zero time if it does
+// ValidUntil returns the time at which this host must stop acting on a lease; the zero time if it does
 // not hold the lease.
-func (h *Holder) Until(name string) time.Time {
+func (h *Holder) ValidUntil(name string) time.Time {
 	if h.Epoch(name) == 0 {
 		return time.Time{}
 	}
