--- a/publisher/snapshot.go
+++ b/publisher/snapshot.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// ReservedFrom marks the targets that a rank must leave to more urgent classes. The result is nil
+// ReservedAbove marks the targets that a rank must leave to more urgent classes. The result is nil
 // if there are none.
-func (p *Pool) ReservedFrom(rank int) []bool { return p.reserved[rank] }
+func (p *Pool) ReservedAbove(rank int) []bool { return p.reserved[rank] }
 
 // Snapshot is the state that is needed to serve requests. It must not be changed once published.
 type Snapshot struct {
--- a/server/forward.go
+++ b/server/forward.go
@@ -170,7 +170,7 @@
 func (d *delivery) excluded(now time.Time) []bool {
 	pool := d.x.Pool
 	marks := make([]bool, len(pool.Targets))
-	copy(marks, pool.ReservedFrom(d.x.Class.Rank))
+	copy(marks, pool.ReservedAbove(d.x.Class.Rank))
 	for _, i := range d.tried {
 		marks[i] = true
 	}
--- a/server/pools.go
+++ b/server/pools.go
@@ -79,7 +79,7 @@
 	if p == nil {
 		return true // forward refuses the request
 	}
-	requests, slots := router.OccupancyWithout(p.Targets, p.ReservedFrom(rank))
+	requests, slots := router.OccupancyWithout(p.Targets, p.ReservedAbove(rank))
 	if slots == 0 {
 		return true
 	}
