--- a/administrator/administrator.go
+++ b/administrator/administrator.go
@@ -22,8 +22,8 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Current is the configuration in force on this host.
-type Current struct {
+// Configuration is the configuration in force on this host.
+type Configuration struct {
 	Revision uint64
 	Document *configurer.Document // Document is nil before the first revision.
 	Results  []configurer.Result  // Results holds the results of the latest changes, oldest first.
@@ -31,7 +31,7 @@
 
 // Control is the interface to the host's control plane. It must be safe for concurrent use.
 type Control interface {
-	Current() Current
+	Current() Configuration
 	// Publish publishes a change and waits until it is read back. It reports false if the result
 	// is not known yet.
 	Publish(ctx context.Context, d configurer.Delta) (configurer.Result, bool)
@@ -208,7 +208,7 @@
 	return http.StatusOK
 }
 
-func findResult(cur Current, id string) (configurer.Result, bool) {
+func findResult(cur Configuration, id string) (configurer.Result, bool) {
 	for _, r := range cur.Results {
 		if r.ID == id {
 			return r, true
--- a/administrator/console.go
+++ b/administrator/console.go
@@ -130,7 +130,7 @@
 	a.showReview(w, r, cur, doc, false)
 }
 
-func (a *Administrator) showReview(w http.ResponseWriter, r *http.Request, cur Current, doc *configurer.Document, rebased bool) {
+func (a *Administrator) showReview(w http.ResponseWriter, r *http.Request, cur Configuration, doc *configurer.Document, rebased bool) {
 	d, err := configurer.NewDelta(rand.Text(), operatorOf(r), cur.Revision, cur.Document, doc)
 	if err != nil {
 		a.render(w, r, http.StatusInternalServerError, "faults.html", "Not valid", []string{err.Error()})
@@ -144,7 +144,7 @@
 }
 
 // documentFromForm applies a form to the current document and returns the result with its faults.
-func (a *Administrator) documentFromForm(r *http.Request, cur Current) (*configurer.Document, []string) {
+func (a *Administrator) documentFromForm(r *http.Request, cur Configuration) (*configurer.Document, []string) {
 	if text := r.FormValue("Document"); text != "" {
 		doc, faults := configurer.Parse([]byte(text))
 		var out []string
@@ -211,7 +211,7 @@
 	HostsAnswer
 }
 
-func (a *Administrator) showResult(w http.ResponseWriter, r *http.Request, f changeForm, cur Current, ans PublishAnswer, patch []byte) {
+func (a *Administrator) showResult(w http.ResponseWriter, r *http.Request, f changeForm, cur Configuration, ans PublishAnswer, patch []byte) {
 	if ans.Known && ans.Result.Fate == configurer.FateConflict {
 		a.conflict(w, r, f, cur, patch)
 		return
@@ -228,7 +228,7 @@
 }
 
 // conflict shows a conflicting change and the changes accepted since its base revision.
-func (a *Administrator) conflict(w http.ResponseWriter, r *http.Request, f changeForm, cur Current, patch []byte) {
+func (a *Administrator) conflict(w http.ResponseWriter, r *http.Request, f changeForm, cur Configuration, patch []byte) {
 	p := conflictPage{changeForm: f, Current: cur.Revision}
 	for _, res := range cur.Results {
 		if res.Fate == configurer.FateAccepted && res.Revision > f.Base {
--- a/runner/control.go
+++ b/runner/control.go
@@ -22,11 +22,11 @@
 }
 
 // Current implements administrator.Control.
-func (c *control) Current() administrator.Current {
-	var cur administrator.Current
+func (c *control) Current() administrator.Configuration {
+	var cur administrator.Configuration
 	c.host.loop.do(func(_ time.Time, n *controller.Node) {
 		s := n.Configuration()
-		cur = administrator.Current{
+		cur = administrator.Configuration{
 			Revision: s.Revision(),
 			Document: s.Document(),
 			Results:  append([]configurer.Result(nil), s.Results()...),
--- a/runner/host.go
+++ b/runner/host.go
@@ -315,7 +315,7 @@
 }
 
 // Current returns this host's current configuration.
-func (h *Host) Current() administrator.Current { return (&control{host: h}).Current() }
+func (h *Host) Current() administrator.Configuration { return (&control{host: h}).Current() }
 
 // Revision returns the configuration revision that requests at this host use.
 func (h *Host) Revision() uint64 { return h.publisher.Load().Revision }
