--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -69,7 +69,7 @@
 	unheard := func(ev Event) map[string]bool {
 		for _, a := range n.Handle(time.Unix(5000, 0), ev) {
 			if p, ok := a.(PublishHosts); ok {
-				return p.Unheard
+				return p.Uncontacted
 			}
 		}
 		return nil
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -162,9 +162,9 @@
 
 // PublishHosts publishes a new list of hosts to the directory.
 type PublishHosts struct {
-	Hosts   []tracker.HostRecord
-	Unheard map[string]bool // Unheard are hosts known only from their announcements; they may have ended.
-	Serving activator.Selection
+	Hosts       []tracker.HostRecord
+	Uncontacted map[string]bool // Uncontacted are hosts known only from their announcements; they may have ended.
+	Active      activator.Selection
 }
 
 // ApplyReport passes another host's report, or a sum of reports, to the placer.
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -154,14 +154,14 @@
 		h.placer.SetFeedCurrent(a.At)
 		h.counters.feedCurrent(follower.FeedOperator, a.At)
 	case PublishHosts:
-		h.evictsStores.Store(tracker.RankIndex(a.Serving.Hosts(), h.opts.Settings.Host, "keeper") == 0)
+		h.evictsStores.Store(tracker.RankIndex(a.Active.Hosts(), h.opts.Settings.Host, "keeper") == 0)
 		h.hosts.Store(&a.Hosts)
-		h.unheard.Store(&a.Unheard)
-		h.serving.Store(&a.Serving)
+		h.unheard.Store(&a.Uncontacted)
+		h.serving.Store(&a.Active)
 		h.budget.SetHosts(h.shareCount())
 		h.watchStores(h.view.Load())
 		h.opts.Pool.SetHosts(h.shareCount())
-		h.tuneGC(a.Serving)
+		h.tuneGC(a.Active)
 	case ApplyReport:
 		h.placer.ApplyReport(h.opts.Timer.Now(), a.From, a.Report)
 	case Renew:
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -209,7 +209,7 @@
 		n.topo = nil
 		t := n.topology()
 		n.requestCacheIfActivated(t)
-		n.emit(PublishHosts{Hosts: n.hosts.All(), Unheard: n.hosts.Uncontacted(), Serving: t.serving})
+		n.emit(PublishHosts{Hosts: n.hosts.All(), Uncontacted: n.hosts.Uncontacted(), Active: t.serving})
 	}
 }
 
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -336,7 +336,7 @@
 			h.version = a.View.Table.Version()
 		}
 	case conductor.PublishHosts:
-		h.liveHosts, h.activeHosts = 0, fmt.Sprint(a.Serving.Hosts())
+		h.liveHosts, h.activeHosts = 0, fmt.Sprint(a.Active.Hosts())
 		for _, r := range a.Hosts {
 			if r.State == tracker.HostLive {
 				h.liveHosts++
