--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -333,7 +333,7 @@
 	for _, s := range c.nodes {
 		for _, o := range c.nodes {
 			if !c.reaches(s, o) {
-				s.inbox = append(s.inbox, PeerUp{Host: o.name, Address: o.name})
+				s.inbox = append(s.inbox, PeerConnected{Host: o.name, Address: o.name})
 			}
 		}
 	}
--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -75,6 +75,6 @@
 		return nil
 	}
 	assert.DeepEqual(t, unheard(AnnouncementsRead{Hosts: []tracker.HostRecord{record("b"), record("c")}}), map[string]bool{"b": true, "c": true})
-	assert.DeepEqual(t, unheard(PeerUp{Host: "b"}), map[string]bool{"c": true})
+	assert.DeepEqual(t, unheard(PeerConnected{Host: "b"}), map[string]bool{"c": true})
 	assert.DeepEqual(t, unheard(PeerMessage{From: "c", Message: &messenger.Message{}}), map[string]bool{})
 }
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -36,8 +36,8 @@
 	Message *messenger.Message
 }
 
-// PeerUp reports that a connection to another host was opened.
-type PeerUp struct {
+// PeerConnected reports that a connection to another host was opened.
+type PeerConnected struct {
 	Host    string
 	Address string // Address is where other hosts connect to it.
 }
@@ -99,7 +99,7 @@
 func (Tick) event()                 {}
 func (FeedRead) event()             {}
 func (PeerMessage) event()          {}
-func (PeerUp) event()               {}
+func (PeerConnected) event()        {}
 func (AnnouncementsRead) event()    {}
 func (Announced) event()            {}
 func (AllAnnouncementsRead) event() {}
--- a/conductor/greet_test.go
+++ b/conductor/greet_test.go
@@ -22,7 +22,7 @@
 	c.isolated = true
 	s := c.nodes[17]
 	c.start(s)
-	s.inbox = append(s.inbox, PeerUp{Host: c.nodes[3].name, Address: c.nodes[3].name})
+	s.inbox = append(s.inbox, PeerConnected{Host: c.nodes[3].name, Address: c.nodes[3].name})
 	c.run(2 * time.Second)
 	assert.Equal(t, len(s.node.hosts.Live()), 40)
 }
--- a/conductor/host.go
+++ b/conductor/host.go
@@ -166,7 +166,7 @@
 		Self:      messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
 		Secret:    []byte(s.PeerSecret),
 		Receive:   h.receive,
-		OnConnect: func(host, address string) { h.post(PeerUp{Host: host, Address: address}) },
+		OnConnect: func(host, address string) { h.post(PeerConnected{Host: host, Address: address}) },
 		Log:       opts.Log.Logger,
 	})
 	h.counters = newCounters(h)
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -135,7 +135,7 @@
 		n.handleFeedRead(now, ev)
 	case PeerMessage:
 		n.handlePeerMessage(now, ev)
-	case PeerUp:
+	case PeerConnected:
 		n.hostsDirty = n.hosts.Heard(now, ev.Host) || n.hostsDirty
 		n.greet(now, ev.Host, ev.Address)
 	case AnnouncementsRead:
--- a/experimenter/fleetevents.go
+++ b/experimenter/fleetevents.go
@@ -95,7 +95,7 @@
 	if from.connected[name] != to.incarnation {
 		from.connected[name] = to.incarnation
 		m.handleAt(from, m.now.Add(3*delay), func() conductor.Event {
-			return conductor.PeerUp{Host: name, Address: name}
+			return conductor.PeerConnected{Host: name, Address: name}
 		})
 	}
 	m.countMessage(from, to, size)
