--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -224,7 +224,7 @@
 func (c *cluster) answerReads(s *simNode) {
 	var pending []*simRead
 	for _, w := range s.waiting {
-		ev := FeedRead{Page: follower.FeedPage{Feed: w.read.Feed}, Asked: w.start, Wait: w.read.Wait}
+		ev := FeedRead{Page: follower.FeedPage{Feed: w.read.Feed}, RequestedAt: w.start, Wait: w.read.Wait}
 		log := c.logs[w.read.Feed]
 		silent := w.silent || s.access == accessSilent
 		w.silent = silent
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -24,10 +24,10 @@
 
 // FeedRead is the result of a Read.
 type FeedRead struct {
-	Page  follower.FeedPage
-	Asked time.Time     // Asked is when the request was sent.
-	Wait  time.Duration // Wait is how long the store could wait for a record.
-	Err   error
+	Page        follower.FeedPage
+	RequestedAt time.Time     // RequestedAt is when the request was sent.
+	Wait        time.Duration // Wait is how long the store could wait for a record.
+	Err         error
 }
 
 // PeerMessage is a message from another host.
--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -95,11 +95,11 @@
 // coveredUntil returns the time up to which an answer is complete. An empty answer after the full
 // wait covers the time until the store stopped waiting.
 func coveredUntil(now time.Time, ev FeedRead) time.Time {
-	took := now.Sub(ev.Asked)
+	took := now.Sub(ev.RequestedAt)
 	if ev.Wait > 0 && took >= ev.Wait && len(ev.Page.Records) == 0 {
 		return now.Add(ev.Wait - took)
 	}
-	return ev.Asked
+	return ev.RequestedAt
 }
 
 func (n *Node) readFailed(now time.Time, f *feed, ev FeedRead) {
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -106,7 +106,7 @@
 // whole feeds, whose transfer over a slow link takes long.
 func (n *Node) askInterval(f *feed) time.Duration {
 	if f.loaded || n.topology().small {
-		return n.opts.Timing.AskInterval
+		return n.opts.Timing.PageRequestInterval
 	}
 	return n.opts.Timing.ListingInterval << min(f.listingRequests, maxBackoffDoublings)
 }
@@ -122,7 +122,7 @@
 )
 
 func (n *Node) requestStores(now time.Time, host string) {
-	if now.Sub(n.lastStores) < n.opts.Timing.AskInterval {
+	if now.Sub(n.lastStores) < n.opts.Timing.PageRequestInterval {
 		return
 	}
 	n.lastStores = now
--- a/conductor/handover_test.go
+++ b/conductor/handover_test.go
@@ -106,7 +106,7 @@
 			page := follower.FeedPage{Feed: c.feed, From: next, Next: next + 1, Records: []follower.Record{{Key: c.key, Value: []byte(c.value), Offset: next}}}
 			n.Handle(cl.now, PeerMessage{From: "host-1", Message: &messenger.Message{FeedPages: []follower.FeedPage{page}}})
 			forwarded := 0
-			for _, a := range n.Handle(cl.now, FeedRead{Page: page, Asked: cl.now}) {
+			for _, a := range n.Handle(cl.now, FeedRead{Page: page, RequestedAt: cl.now}) {
 				if s, ok := a.(SendAll); ok {
 					for _, news := range s.Message.FeedPages {
 						forwarded += len(news.Records)
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -177,7 +177,7 @@
 
 func (h *Host) read(a Read) {
 	start := h.opts.Timer.Now()
-	ev := FeedRead{Asked: start, Wait: a.Wait}
+	ev := FeedRead{RequestedAt: start, Wait: a.Wait}
 	if a.Full {
 		ev.Page, ev.Err = h.opts.Store.Newest(h.ctx, a.Feed)
 	} else {
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -25,11 +25,11 @@
 	TakeoverStep time.Duration // TakeoverStep is added to TakeoverAge for each further place.
 	ReadInterval time.Duration // ReadInterval is the least time between two reads, so that records accumulate.
 	// ReadIntervalLarge is ReadInterval in a large fleet, where each page goes to all hosts.
-	ReadIntervalLarge time.Duration
-	RetryDelay        time.Duration // RetryDelay is the delay after a failed call to the store.
-	MaxLag            time.Duration // MaxLag is how long another host may know more before it is asked.
-	AskInterval       time.Duration // AskInterval is the least time between requests to peers for a page.
-	ListingInterval   time.Duration // ListingInterval is the same for a whole listing in a large fleet.
+	ReadIntervalLarge   time.Duration
+	RetryDelay          time.Duration // RetryDelay is the delay after a failed call to the store.
+	MaxLag              time.Duration // MaxLag is how long another host may know more before it is asked.
+	PageRequestInterval time.Duration // PageRequestInterval is the least time between requests to peers for a page.
+	ListingInterval     time.Duration // ListingInterval is the same for a whole listing in a large fleet.
 
 	// LeaseTerm is how long the renewer's lease lasts without renewal. After its holder dies, the
 	// next order follows a term, a turn and a margin later.
@@ -58,11 +58,11 @@
 
 		ReadIntervalLarge: 250 * time.Millisecond,
 
-		RetryDelay:      250 * time.Millisecond,
-		MaxLag:          150 * time.Millisecond,
-		AskInterval:     300 * time.Millisecond,
-		ListingInterval: 1200 * time.Millisecond,
-		LeaseTerm:       time.Second,
-		LeaseMargin:     200 * time.Millisecond,
+		RetryDelay:          250 * time.Millisecond,
+		MaxLag:              150 * time.Millisecond,
+		PageRequestInterval: 300 * time.Millisecond,
+		ListingInterval:     1200 * time.Millisecond,
+		LeaseTerm:           time.Second,
+		LeaseMargin:         200 * time.Millisecond,
 	}
 }
--- a/experimenter/fleetstore.go
+++ b/experimenter/fleetstore.go
@@ -82,7 +82,7 @@
 				news.Records = append(news.Records, r)
 				m.result.StoreBytes += len(r.Value)
 			}
-			return conductor.FeedRead{Page: news, Asked: asked, Wait: a.Wait}
+			return conductor.FeedRead{Page: news, RequestedAt: asked, Wait: a.Wait}
 		})
 		return
 	}
@@ -101,7 +101,7 @@
 			for _, r := range news.Records {
 				m.result.StoreBytes += len(r.Value)
 			}
-			return conductor.FeedRead{Page: news, Asked: asked, Wait: a.Wait}
+			return conductor.FeedRead{Page: news, RequestedAt: asked, Wait: a.Wait}
 		})
 	}
 	if int64(len(m.logs[a.Feed])) > a.From {
