--- a/conductor/host.go
+++ b/conductor/host.go
@@ -159,7 +159,7 @@
 		Chosen:     h.logChoice,
 		Quarantine: h.quarantine,
 		Refuses:    opts.Pool.Refuses,
-		Gone:       opts.Pool.Gone,
+		Terminated: opts.Pool.Terminated,
 		Ended:      h.logUpstreamEnded,
 	})
 	h.messenger = messenger.New(messenger.Options{
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -47,9 +47,9 @@
 	Quarantine Quarantine
 	// Refuses probes whether no process listens at an address; nil means false.
 	Refuses func(address string) bool
-	// Gone is like Refuses, but takes an open connection as proof of a running process;
+	// Terminated is like Refuses, but takes an open connection as proof of a running process;
 	// nil means false.
-	Gone func(address string) bool
+	Terminated func(address string) bool
 	// Ended is called for each request whose upstream terminated while it was in progress;
 	// optional.
 	Ended func(e Ended)
--- a/exchanger/watch.go
+++ b/exchanger/watch.go
@@ -25,7 +25,7 @@
 
 // watch schedules a check of an upstream at which an attempt was abandoned.
 func (w *watcher) watch(u follower.Upstream) {
-	if w.opts.Gone == nil {
+	if w.opts.Terminated == nil {
 		return
 	}
 	w.mu.Lock()
@@ -48,7 +48,7 @@
 // check records that the upstream terminated if it did, and schedules another check if
 // attempts were abandoned after this one was scheduled.
 func (w *watcher) check(u follower.Upstream) {
-	if w.opts.Gone(u.Address) {
+	if w.opts.Terminated(u.Address) {
 		w.opts.Quarantine.InstanceEnded(w.opts.Timer.Now(), u.InstanceID())
 	}
 	w.mu.Lock()
--- a/forwarder/reach.go
+++ b/forwarder/reach.go
@@ -24,9 +24,9 @@
 	return refused == true
 }
 
-// Gone is like Refuses, but takes an open idle connection as proof that the process
+// Terminated is like Refuses, but takes an open idle connection as proof that the process
 // is running. Its end must be long enough ago for its connections to be closed.
-func (p *Pool) Gone(address string) bool { return !p.hasOpenIdle(address) && p.Refuses(address) }
+func (p *Pool) Terminated(address string) bool { return !p.hasOpenIdle(address) && p.Refuses(address) }
 
 // hasOpenIdle reports whether an idle connection to an address is still open.
 func (p *Pool) hasOpenIdle(address string) bool {
--- a/forwarder/reach_test.go
+++ b/forwarder/reach_test.go
@@ -38,16 +38,16 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
-	assert.Assert(t, !p.Gone(address)) // opens a connection
-	assert.Assert(t, !p.Gone(address))
+	assert.Assert(t, !p.Terminated(address)) // opens a connection
+	assert.Assert(t, !p.Terminated(address))
 	assert.Equal(t, p.Opened.Load(), uint64(1))
 	conn, err := l.Accept()
 	assert.NilError(t, err)
 	assert.NilError(t, l.Close())
-	assert.Assert(t, !p.Gone(address))
+	assert.Assert(t, !p.Terminated(address))
 	assert.NilError(t, conn.Close())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if p.Gone(address) {
+		if p.Terminated(address) {
 			return poll.Success()
 		}
 		return poll.Continue("the close has not arrived")
