--- a/dispatcher/attempts.go
+++ b/dispatcher/attempts.go
@@ -106,7 +106,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return false
-	case t.Last.Failure != nil && t.Last.Failure.Cause == forwarder.CauseCaller:
+	case t.Last.Failure != nil && t.Last.Failure.Cause == forwarder.CauseCallerGone:
 		return false
 	case t.Runs > 0 && !p.Repeatable:
 		return false
--- a/dispatcher/attempts_test.go
+++ b/dispatcher/attempts_test.go
@@ -50,7 +50,7 @@
 	{Cause: forwarder.CauseRefused, Ran: forwarder.RanNo},
 	{Cause: forwarder.CauseLost, Ran: forwarder.RanUnknown},
 	{Cause: forwarder.CauseCut, Ran: forwarder.RanYes},
-	{Cause: forwarder.CauseCaller, Ran: forwarder.RanUnknown},
+	{Cause: forwarder.CauseCallerGone, Ran: forwarder.RanUnknown},
 }
 
 // TestRandomAttempts checks the policy's limits and the reported endings for random
@@ -91,7 +91,7 @@
 		case Unknown:
 			assert.Assert(t, runs > 0)
 		case CallerGone:
-			assert.Equal(t, s.script[s.sent-1].Cause, forwarder.CauseCaller)
+			assert.Equal(t, s.script[s.sent-1].Cause, forwarder.CauseCallerGone)
 		default:
 			t.Fatalf("unknown ending")
 		}
--- a/dispatcher/ending.go
+++ b/dispatcher/ending.go
@@ -29,7 +29,7 @@
 		cause = t.Last.Failure.Cause
 	}
 	switch {
-	case ctx.Err() == context.Canceled, ctx.Err() == nil && cause == forwarder.CauseCaller:
+	case ctx.Err() == context.Canceled, ctx.Err() == nil && cause == forwarder.CauseCallerGone:
 		return CallerGone
 	case ctx.Err() != nil:
 		return Deadline
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -71,7 +71,7 @@
 		return nil, &forwarder.Failure{Cause: forwarder.CauseLost, Ran: forwarder.RanUnknown}
 	case "hang":
 		<-ctx.Done()
-		return nil, &forwarder.Failure{Cause: forwarder.CauseCaller, Ran: forwarder.RanUnknown}
+		return nil, &forwarder.Failure{Cause: forwarder.CauseCallerGone, Ran: forwarder.RanUnknown}
 	}
 	panic("unknown attempt " + do)
 }
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -166,7 +166,7 @@
 	if s.sent.Add(1) <= s.silent {
 		s.received <- struct{}{}
 		<-ctx.Done()
-		return nil, &forwarder.Failure{Cause: forwarder.CauseCaller, Ran: forwarder.RanUnknown}
+		return nil, &forwarder.Failure{Cause: forwarder.CauseCallerGone, Ran: forwarder.RanUnknown}
 	}
 	return &fakeAnswer{status: 200, body: "whole", end: io.EOF}, nil
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -30,14 +30,14 @@
 
 // Values of Cause.
 const (
-	CauseConnect   Cause = "Connect"   // CauseConnect means that no connection was available.
-	CauseLost      Cause = "Lost"      // CauseLost means that the connection broke before the answer.
-	CauseTimeout   Cause = "Timeout"   // CauseTimeout means that the answer did not arrive in time.
-	CauseRefused   Cause = "Refused"   // CauseRefused means that the upstream refused the request.
-	CauseCrossed   Cause = "Crossed"   // CauseCrossed means that the answer belongs to another attempt.
-	CauseCut       Cause = "Cut"       // CauseCut means that the answer is incomplete.
-	CauseMalformed Cause = "Malformed" // CauseMalformed means that the answer cannot be decoded.
-	CauseCaller    Cause = "Caller"    // CauseCaller means that the caller left.
+	CauseConnect    Cause = "Connect"   // CauseConnect means that no connection was available.
+	CauseLost       Cause = "Lost"      // CauseLost means that the connection broke before the answer.
+	CauseTimeout    Cause = "Timeout"   // CauseTimeout means that the answer did not arrive in time.
+	CauseRefused    Cause = "Refused"   // CauseRefused means that the upstream refused the request.
+	CauseCrossed    Cause = "Crossed"   // CauseCrossed means that the answer belongs to another attempt.
+	CauseCut        Cause = "Cut"       // CauseCut means that the answer is incomplete.
+	CauseMalformed  Cause = "Malformed" // CauseMalformed means that the answer cannot be decoded.
+	CauseCallerGone Cause = "Caller"    // CauseCallerGone means that the caller left.
 )
 
 // Failure describes a failed attempt.
@@ -121,10 +121,10 @@
 	return r, nil
 }
 
-// asTimeout changes the cause from CauseCaller to CauseTimeout if a watchdog
+// asTimeout changes the cause from CauseCallerGone to CauseTimeout if a watchdog
 // canceled the attempt.
 func asTimeout(ctx context.Context, f *Failure) *Failure {
-	if _, stalled := context.Cause(ctx).(errStalled); stalled && f.Cause == CauseCaller {
+	if _, stalled := context.Cause(ctx).(errStalled); stalled && f.Cause == CauseCallerGone {
 		f.Cause = CauseTimeout
 	}
 	return f
@@ -212,7 +212,7 @@
 	if r.ctx.Err() == nil {
 		return f
 	}
-	f.Cause = CauseCaller
+	f.Cause = CauseCallerGone
 	return asTimeout(r.ctx, f)
 }
 
--- a/forwarder/pool.go
+++ b/forwarder/pool.go
@@ -192,7 +192,7 @@
 		fail.Ran = RanNo
 	}
 	if ctx.Err() != nil {
-		fail.Cause = CauseCaller
+		fail.Cause = CauseCallerGone
 	}
 	return nil, fail
 }
@@ -211,7 +211,7 @@
 		p.mu.Unlock()
 		cause := CauseConnect
 		if ctx.Err() != nil {
-			cause = CauseCaller
+			cause = CauseCallerGone
 		}
 		return nil, &Failure{Cause: cause, Ran: RanNo, Detail: err.Error(), NoListener: errors.Is(err, syscall.ECONNREFUSED)}
 	}
--- a/forwarder/stream.go
+++ b/forwarder/stream.go
@@ -45,7 +45,7 @@
 	body := &watchedBody{body: r.reply, response: r, sink: sink}
 	for ev, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if sinkErr := (errSink{}); errors.As(err, &sinkErr) {
-			return &Failure{Cause: CauseCaller, Ran: RanYes, Detail: sinkErr.Error()}
+			return &Failure{Cause: CauseCallerGone, Ran: RanYes, Detail: sinkErr.Error()}
 		}
 		if err != nil {
 			return r.readFailure(err)
@@ -61,7 +61,7 @@
 			return fail
 		}
 		if err := sink.Event(e); err != nil {
-			return &Failure{Cause: CauseCaller, Ran: RanYes, Detail: err.Error()}
+			return &Failure{Cause: CauseCallerGone, Ran: RanYes, Detail: err.Error()}
 		}
 	}
 	// The body ended without the end marker. The finish reason and the token count
--- a/server/forward.go
+++ b/server/forward.go
@@ -106,7 +106,7 @@
 	if gotFirst {
 		d.recordPlacement(up, c.decision, fail == nil)
 	}
-	if fail == nil || fail.Cause != forwarder.CauseCaller {
+	if fail == nil || fail.Cause != forwarder.CauseCallerGone {
 		up.Instruments.Breaker.Record(s.opts.Timer.Now(), fail == nil || !indicatesFault(fail))
 	}
 	if fail == nil {
