--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -112,7 +112,7 @@
 func (n *Node) handlePeerMessage(now time.Time, ev PeerMessage) {
 	m := ev.Message
 	n.introducer.Contacted()
-	n.hostsDirty = n.hosts.Heard(now, ev.From) || n.hostsDirty
+	n.hostsDirty = n.hosts.RecordContact(now, ev.From) || n.hostsDirty
 	if n.arrivals.mayBeStale(now, ev.From) {
 		m = m.WithFeedPages(withUnknownAge(m.FeedPages))
 	}
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -136,7 +136,7 @@
 	case PeerMessage:
 		n.handlePeerMessage(now, ev)
 	case PeerConnected:
-		n.hostsDirty = n.hosts.Heard(now, ev.Host) || n.hostsDirty
+		n.hostsDirty = n.hosts.RecordContact(now, ev.Host) || n.hostsDirty
 		n.greet(now, ev.Host, ev.Address)
 	case AnnouncementsRead:
 		n.handleAnnouncementsRead(now, ev)
@@ -189,7 +189,7 @@
 func (n *Node) detectStall(now time.Time) {
 	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.opts.Timing.SuspectAfter/2 {
 		for _, r := range n.hosts.All() {
-			n.hosts.Heard(now, r.Host)
+			n.hosts.RecordContact(now, r.Host)
 		}
 	}
 	n.lastTick = now
--- a/conductor/tick_bench_test.go
+++ b/conductor/tick_bench_test.go
@@ -33,7 +33,7 @@
 		for range int(time.Second / DefaultTiming().Tick) {
 			now = now.Add(DefaultTiming().Tick)
 			for _, o := range s.node.hosts.Neighbours() {
-				s.node.hosts.Heard(now, o)
+				s.node.hosts.RecordContact(now, o)
 			}
 			s.node.Handle(now, Tick{})
 		}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -56,7 +56,7 @@
 }
 
 func (n *Node) peerUp(now time.Time, host string) {
-	n.hosts.Heard(now, host)
+	n.hosts.RecordContact(now, host)
 	n.sendFullSync(now, host)
 }
 
@@ -73,7 +73,7 @@
 }
 
 func (n *Node) peerMessage(now time.Time, ev PeerMessage) {
-	n.hosts.Heard(now, ev.From)
+	n.hosts.RecordContact(now, ev.From)
 	n.notifySuspect(now, ev.From)
 	m := ev.Message
 	if m.Digest != 0 && !m.Full && !slices.Contains(n.hosts.Neighbours(), ev.From) {
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -221,8 +221,8 @@
 	return []HostRecord{next}
 }
 
-// Heard records direct contact with a host, and reports whether it was the first.
-func (h *Hosts) Heard(now time.Time, host string) bool {
+// RecordContact records direct contact with a host, and reports whether it was the first.
+func (h *Hosts) RecordContact(now time.Time, host string) bool {
 	e := h.records[host]
 	if e == nil {
 		return false
