--- a/conductor/bars.go
+++ b/conductor/bars.go
@@ -75,7 +75,7 @@
 
 // restore returns the saved bars.
 func (b *savedBars) restore(h *Host, saved map[string][]byte) []quarantiner.Entry {
-	var words []quarantiner.Entry
+	var entries []quarantiner.Entry
 	for key, value := range saved {
 		id, ok := parseBarKey(key)
 		if !ok || len(value) == 0 {
@@ -87,8 +87,8 @@
 			continue
 		}
 		n.Entry.Age = max(0, n.Entry.Age) + max(0, time.Since(time.UnixMilli(n.At)))
-		words = append(words, n.Entry)
+		entries = append(entries, n.Entry)
 		b.add(id)
 	}
-	return words
+	return entries
 }
--- a/conductor/namings.go
+++ b/conductor/namings.go
@@ -28,11 +28,11 @@
 	times   int // times is how many of saveAges have been saved.
 }
 
-// due returns the namings to save now, by model.
-func (n *savedVersionAges) due(namings []follower.VersionAge) map[string][]follower.VersionAge {
+// due returns the version ages to save now, by model.
+func (n *savedVersionAges) due(ages []follower.VersionAge) map[string][]follower.VersionAge {
 	byModel := make(map[string][]follower.VersionAge)
 	newest := make(map[string]follower.VersionAge)
-	for _, naming := range namings {
+	for _, naming := range ages {
 		byModel[naming.Model] = append(byModel[naming.Model], naming)
 		if naming.Version > newest[naming.Model].Version {
 			newest[naming.Model] = naming
@@ -57,12 +57,12 @@
 	return n
 }
 
-func (n *savedVersionAges) markSaved(model string, namings []follower.VersionAge) {
+func (n *savedVersionAges) markSaved(model string, ages []follower.VersionAge) {
 	if n.saved == nil {
 		n.saved = make(map[string]savedAge)
 	}
 	newest := follower.VersionAge{}
-	for _, naming := range namings {
+	for _, naming := range ages {
 		if naming.Version > newest.Version {
 			newest = naming
 		}
@@ -70,19 +70,19 @@
 	n.saved[model] = savedAge{version: newest.Version, times: agesReached(newest.Age)}
 }
 
-// update saves the namings that are due.
+// update saves the version ages that are due.
 func (n *savedVersionAges) update(h *Host) {
-	for model, namings := range n.due(h.view.Load().VersionAges(h.opts.Timer.Now())) {
-		if h.saveVersionAges(model, namings) {
-			n.markSaved(model, namings)
+	for model, ages := range n.due(h.view.Load().VersionAges(h.opts.Timer.Now())) {
+		if h.saveVersionAges(model, ages) {
+			n.markSaved(model, ages)
 		}
 	}
 }
 
-func (h *Host) saveVersionAges(model string, namings []follower.VersionAge) bool {
-	value, err := codec.Marshal(namings)
+func (h *Host) saveVersionAges(model string, ages []follower.VersionAge) bool {
+	value, err := codec.Marshal(ages)
 	if err != nil {
-		panic("conductor: namings cannot be encoded: " + err.Error())
+		panic("conductor: version ages cannot be encoded: " + err.Error())
 	}
 	if err = h.save(model, value); err != nil {
 		h.log.Warn().Err(err).Str("Model", model).Msg(logger.NamingsUnnoted)
@@ -90,19 +90,19 @@
 	return err == nil
 }
 
-// decodeVersionAges returns the namings among saved values.
+// decodeVersionAges returns the version ages among saved values.
 func (h *Host) decodeVersionAges(saved map[string][]byte) []follower.VersionAge {
 	var out []follower.VersionAge
 	for model, value := range saved {
 		if _, ok := parseBarKey(model); ok {
 			continue
 		}
-		var namings []follower.VersionAge
-		if err := codec.Unmarshal(value, &namings); err != nil {
+		var ages []follower.VersionAge
+		if err := codec.Unmarshal(value, &ages); err != nil {
 			h.log.Warn().Err(err).Str("Model", model).Msg(logger.NamingsUnread)
 			continue
 		}
-		out = append(out, namings...)
+		out = append(out, ages...)
 	}
 	return out
 }
--- a/conductor/namings_test.go
+++ b/conductor/namings_test.go
@@ -19,8 +19,8 @@
 	var n savedVersionAges
 	writes := 0
 	for age := time.Duration(0); age < time.Minute; age += 100 * time.Millisecond {
-		namings := []follower.VersionAge{{Model: "m", Version: 1, Age: age + time.Hour}, {Model: "m", Version: 2, Age: age}}
-		for model, due := range n.due(namings) {
+		ages := []follower.VersionAge{{Model: "m", Version: 1, Age: age + time.Hour}, {Model: "m", Version: 2, Age: age}}
+		for model, due := range n.due(ages) {
 			assert.Equal(t, len(due), 2)
 			n.markSaved(model, due)
 			writes++
--- a/conductor/notes.go
+++ b/conductor/notes.go
@@ -41,11 +41,11 @@
 		h.log.Warn().Err(err).Msg(logger.NamingsUnread)
 		return false
 	}
-	if namings := h.decodeVersionAges(saved); len(namings) > 0 {
-		h.post(VersionAgesRestored{VersionAges: namings})
+	if ages := h.decodeVersionAges(saved); len(ages) > 0 {
+		h.post(VersionAgesRestored{VersionAges: ages})
 	}
-	if words := n.bars.restore(h, saved); len(words) > 0 {
-		h.post(QuarantineRestored{Entries: words})
+	if entries := n.bars.restore(h, saved); len(entries) > 0 {
+		h.post(QuarantineRestored{Entries: entries})
 	}
 	return true
 }
--- a/conductor/quarantine.go
+++ b/conductor/quarantine.go
@@ -32,11 +32,11 @@
 // broadcastQuarantine sends all hosts this one's news. In a large fleet neighbours get it directly
 // as well, since a relay may be stalled.
 func (n *Node) broadcastQuarantine() {
-	words := n.opts.Quarantine.TakeChanges(n.now)
-	if len(words) == 0 {
+	entries := n.opts.Quarantine.TakeChanges(n.now)
+	if len(entries) == 0 {
 		return
 	}
-	m := &messenger.Message{Ended: words}
+	m := &messenger.Message{Ended: entries}
 	if !n.topology().small {
 		n.sendToNeighbours("", m)
 	}
@@ -65,8 +65,8 @@
 	}
 	if now.Sub(d.since) >= quarantineSettleTime && now.Sub(d.sentAt) >= quarantineSendInterval {
 		d.sentAt = now
-		if words := n.opts.Quarantine.Entries(now); len(words) > 0 {
-			n.send(from, &messenger.Message{Ended: words})
+		if entries := n.opts.Quarantine.Entries(now); len(entries) > 0 {
+			n.send(from, &messenger.Message{Ended: entries})
 		}
 	}
 	n.quarantineDiffs[from] = d
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -195,13 +195,13 @@
 
 // Merge merges the records of another host, and returns those that became barred by it, for forwarding.
 // Other differences are found by comparing Digest.
-func (l *Ledger) Merge(now time.Time, words []Entry) (barred []Entry) {
+func (l *Ledger) Merge(now time.Time, entries []Entry) (barred []Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.abandoned) > 0 {
-		l.countAbandoned(now, endedStarts(words))
+		l.countAbandoned(now, endedStarts(entries))
 	}
-	for _, w := range words {
+	for _, w := range entries {
 		if w.Age < w.ttl() {
 			free := !l.barred(w.Identity)
 			l.update(now.Add(-w.Age), w.Identity, func(r *record) bool { return r.merge(w) })
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -85,9 +85,9 @@
 		case "tell":
 			at(verb[1]).Merge(now, l.TakeChanges(now))
 		case "tell-late":
-			words := l.TakeChanges(now)
+			entries := l.TakeChanges(now)
 			now = now.Add(messageDelay)
-			at(verb[1]).Merge(now, words)
+			at(verb[1]).Merge(now, entries)
 		case "tell-all":
 			at(verb[1]).Merge(now, l.Entries(now))
 		case "look":
@@ -106,7 +106,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		sources := []*Ledger{New(Options{}), New(Options{}), New(Options{})}
-		var words []Entry
+		var entries []Entry
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			l := sources[rapid.IntRange(0, 2).Draw(t, "host")]
@@ -117,12 +117,12 @@
 			default:
 				l.Ended(now, id, fmt.Sprint("start-", rapid.IntRange(0, 5).Draw(t, "start")), now)
 			}
-			words = append(words, l.Entries(now)...)
+			entries = append(entries, l.Entries(now)...)
 		}
 		a, b := New(Options{}), New(Options{})
-		a.Merge(now, words)
-		b.Merge(now, rapid.Permutation(words).Draw(t, "order"))
-		b.Merge(now, words)
+		a.Merge(now, entries)
+		b.Merge(now, rapid.Permutation(entries).Draw(t, "order"))
+		b.Merge(now, entries)
 		assert.Equal(t, a.Digest(), b.Digest())
 		for i := range 4 {
 			id := identityOf(fmt.Sprint(i))
--- a/quarantiner/word.go
+++ b/quarantiner/word.go
@@ -19,9 +19,9 @@
 }
 
 // endedStarts returns all upstream instances that the words report as ended.
-func endedStarts(words []Entry) map[string]bool {
+func endedStarts(entries []Entry) map[string]bool {
 	ends := make(map[string]bool)
-	for _, w := range words {
+	for _, w := range entries {
 		for _, start := range w.Ends {
 			ends[start] = true
 		}
