--- a/conductor/host.go
+++ b/conductor/host.go
@@ -56,7 +56,7 @@
 type Engines interface {
 	Order(ctx context.Context, holder string, o renewer.Order) renewer.OrderResult
 	// QueryVersion reports whether an engine is carrying out an order, and its version of a model.
-	QueryVersion(ctx context.Context, a renewer.QueryVersion) (busy bool, version uint64, err error)
+	QueryVersion(ctx context.Context, q renewer.QueryVersion) (busy bool, version uint64, err error)
 }
 
 // Edge serves callers in the platform's protocol.
--- a/dispatcher/attempts.go
+++ b/dispatcher/attempts.go
@@ -66,50 +66,50 @@
 }
 
 // Done reports whether the caller has its final answer.
-func (t *Summary) Done() bool { return t.Last.Verdict == Done }
+func (s *Summary) Done() bool { return s.Last.Verdict == Done }
 
 // Run makes attempts until the caller has its final answer or no other attempt is
 // allowed. A request that is not repeatable is retried only after attempts that
 // did not run.
-func Run[C any](ctx context.Context, p Policy, w Attempter[C]) Summary {
-	var t Summary
+func Run[C any](ctx context.Context, p Policy, a Attempter[C]) Summary {
+	var s Summary
 	for {
-		choice, ok := w.Choose(ctx)
+		choice, ok := a.Choose(ctx)
 		if !ok {
-			return t
+			return s
 		}
-		t.add(w.Try(ctx, choice))
-		if t.Done() || !t.more(ctx, p) || !w.Continues() {
-			return t
+		s.add(a.Try(ctx, choice))
+		if s.Done() || !s.more(ctx, p) || !a.Continues() {
+			return s
 		}
 		// While no upstream has received the request, another attempt adds no load
 		// and is not charged to the retry budget.
-		if t.Arrivals > 0 && !w.Withdraw() {
-			return t
+		if s.Arrivals > 0 && !a.Withdraw() {
+			return s
 		}
 	}
 }
 
-func (t *Summary) add(r Result) {
-	t.Attempts++
-	t.Last = r
+func (s *Summary) add(r Result) {
+	s.Attempts++
+	s.Last = r
 	if r.Reached {
-		t.Arrivals++
+		s.Arrivals++
 	}
 	if r.Verdict != NotRun {
-		t.Runs++
+		s.Runs++
 	}
 }
 
 // more reports whether the policy allows another attempt.
-func (t *Summary) more(ctx context.Context, p Policy) bool {
+func (s *Summary) more(ctx context.Context, p Policy) bool {
 	switch {
 	case ctx.Err() != nil:
 		return false
-	case t.Last.Failure != nil && t.Last.Failure.Cause == forwarder.CauseCallerGone:
+	case s.Last.Failure != nil && s.Last.Failure.Cause == forwarder.CauseCallerGone:
 		return false
-	case t.Runs > 0 && !p.Repeatable:
+	case s.Runs > 0 && !p.Repeatable:
 		return false
 	}
-	return t.Attempts < max(p.Attempts, 1) && t.Runs < max(p.Runs, 1)
+	return s.Attempts < max(p.Attempts, 1) && s.Runs < max(p.Runs, 1)
 }
--- a/dispatcher/ending.go
+++ b/dispatcher/ending.go
@@ -23,19 +23,19 @@
 )
 
 // Ending returns why the request got no answer; Done must be false.
-func (t *Summary) Ending(ctx context.Context) Ending {
+func (s *Summary) Ending(ctx context.Context) Ending {
 	var cause forwarder.Cause
-	if t.Last.Failure != nil {
-		cause = t.Last.Failure.Cause
+	if s.Last.Failure != nil {
+		cause = s.Last.Failure.Cause
 	}
 	switch {
 	case ctx.Err() == context.Canceled, ctx.Err() == nil && cause == forwarder.CauseCallerGone:
 		return CallerGone
 	case ctx.Err() != nil:
 		return Deadline
-	case t.Runs > 0:
+	case s.Runs > 0:
 		return Unknown
-	case t.Attempts == 0:
+	case s.Attempts == 0:
 		return NoUpstream
 	case cause == forwarder.CauseConnect:
 		return Unreached
@@ -44,11 +44,11 @@
 }
 
 // Ran reports whether any attempt ran or may have run.
-func (t *Summary) Ran() forwarder.Ran {
+func (s *Summary) Ran() forwarder.Ran {
 	switch {
-	case t.Runs == 0:
+	case s.Runs == 0:
 		return forwarder.RanNo
-	case t.Last.Failure != nil && t.Last.Failure.Ran == forwarder.RanYes:
+	case s.Last.Failure != nil && s.Last.Failure.Ran == forwarder.RanYes:
 		return forwarder.RanYes
 	}
 	return forwarder.RanUnknown
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -371,9 +371,9 @@
 }
 
 // VersionReported processes an engine's answer to QueryVersion.
-func (r *Renewer) VersionReported(now time.Time, a QueryVersion, busy bool, version uint64, err error) []Command {
-	j := r.jobs[a.Upstream.ID]
-	if j == nil || j.born != a.Upstream.Born {
+func (r *Renewer) VersionReported(now time.Time, q QueryVersion, busy bool, version uint64, err error) []Command {
+	j := r.jobs[q.Upstream.ID]
+	if j == nil || j.born != q.Upstream.Born {
 		return nil
 	}
 	j.inFlight = false
@@ -388,7 +388,7 @@
 	if version == 0 {
 		return nil
 	}
-	return r.renewed(&a.Upstream, a.Model, version)
+	return r.renewed(&q.Upstream, q.Model, version)
 }
 
 func (r *Renewer) renewed(u *follower.Upstream, model string, version uint64) []Command {
