--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -59,9 +59,9 @@
 // requests are suspect or barred.
 type Quarantine interface {
 	Standing(now time.Time, id quarantiner.Identity) quarantiner.Verdict
-	Ended(now time.Time, id quarantiner.Identity, start string, sent time.Time)
-	Abandoned(now time.Time, id quarantiner.Identity, start string)
-	InstanceEnded(now time.Time, start string)
+	Ended(now time.Time, id quarantiner.Identity, instance string, sent time.Time)
+	Abandoned(now time.Time, id quarantiner.Identity, instance string)
+	InstanceEnded(now time.Time, instance string)
 	Served(now time.Time, id quarantiner.Identity)
 }
 
--- a/follower/types.go
+++ b/follower/types.go
@@ -82,11 +82,11 @@
 }
 
 // UpstreamID returns the upstream's ID from an identifier returned by InstanceID.
-func UpstreamID(start string) string {
-	if at := strings.LastIndex(start, startSeparator); at >= 0 {
-		return start[:at]
+func UpstreamID(instance string) string {
+	if at := strings.LastIndex(instance, startSeparator); at >= 0 {
+		return instance[:at]
 	}
-	return start
+	return instance
 }
 
 // startSeparator separates the ID from the time in an identifier returned by InstanceID.
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -72,9 +72,9 @@
 
 // abandonment is a request that was abandoned while it was running at an upstream instance.
 type abandonment struct {
-	id    Identity
-	start string
-	at    time.Time
+	id       Identity
+	instance string
+	at       time.Time
 }
 
 // New returns an empty ledger.
@@ -102,33 +102,33 @@
 // Ended records that an upstream instance ended while running a request that was sent at the given time.
 // A request sent after the previous end was a retry, and its upstream may have ended by the same event;
 // copies that were sent concurrently count separately.
-func (l *Ledger) Ended(now time.Time, id Identity, start string, sent time.Time) {
+func (l *Ledger) Ended(now time.Time, id Identity, instance string, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.countAbandoned(now, map[string]bool{start: true})
+	l.countAbandoned(now, map[string]bool{instance: true})
 	if r := l.records[id]; r != nil && now.Sub(r.lastLocalEnd) < sameEventWindow && !sent.Before(r.lastLocalEnd) {
 		return
 	}
-	l.recordEnd(now, id, start)
+	l.recordEnd(now, id, instance)
 }
 
 // Abandoned records that a request was abandoned, by its caller or at its deadline, while it may have been
 // running at an upstream instance. Otherwise callers that disconnect and retry could end one upstream
 // after another unnoticed.
-func (l *Ledger) Abandoned(now time.Time, id Identity, start string) {
+func (l *Ledger) Abandoned(now time.Time, id Identity, instance string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if over := len(l.abandoned) - maxAbandoned + 1; over > 0 {
 		l.abandoned = l.abandoned[over:]
 	}
-	l.abandoned = append(l.abandoned, abandonment{id: id, start: start, at: now})
+	l.abandoned = append(l.abandoned, abandonment{id: id, instance: instance, at: now})
 }
 
 // InstanceEnded records that an upstream instance ended without a running request of this host.
-func (l *Ledger) InstanceEnded(now time.Time, start string) {
+func (l *Ledger) InstanceEnded(now time.Time, instance string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.countAbandoned(now, map[string]bool{start: true})
+	l.countAbandoned(now, map[string]bool{instance: true})
 }
 
 // countAbandoned records the ends of upstream instances for the requests recently abandoned there;
@@ -141,18 +141,18 @@
 	}
 	l.abandoned = l.abandoned[fresh:]
 	for _, d := range l.abandoned {
-		if ended[d.start] {
-			l.recordEnd(now, d.id, d.start)
+		if ended[d.instance] {
+			l.recordEnd(now, d.id, d.instance)
 		}
 	}
 }
 
 // recordEnd records an end that this host has observed; l.mu is held.
-func (l *Ledger) recordEnd(now time.Time, id Identity, start string) {
+func (l *Ledger) recordEnd(now time.Time, id Identity, instance string) {
 	if l.served.has(id) {
 		return // a request that crashes upstreams is never served
 	}
-	if l.update(now, id, func(r *record) bool { return r.add(start) }) {
+	if l.update(now, id, func(r *record) bool { return r.add(instance) }) {
 		l.records[id].lastLocalEnd = now
 		l.announce(id)
 	}
--- a/quarantiner/word.go
+++ b/quarantiner/word.go
@@ -22,8 +22,8 @@
 func endedStarts(entries []Entry) map[string]bool {
 	ends := make(map[string]bool)
 	for _, w := range entries {
-		for _, start := range w.Ends {
-			ends[start] = true
+		for _, instance := range w.Ends {
+			ends[instance] = true
 		}
 	}
 	return ends
@@ -59,21 +59,21 @@
 }
 
 // add records an end and reports whether it is new.
-func (r *record) add(start string) bool {
-	if slices.Contains(r.ends, start) || slices.Contains(r.cleared, start) || len(r.ends) >= maxEnds {
+func (r *record) add(instance string) bool {
+	if slices.Contains(r.ends, instance) || slices.Contains(r.cleared, instance) || len(r.ends) >= maxEnds {
 		return false
 	}
-	r.ends = append(r.ends, start)
+	r.ends = append(r.ends, instance)
 	return true
 }
 
 // clear marks an end as cleared and reports whether it was not yet.
-func (r *record) clear(start string) bool {
-	if slices.Contains(r.cleared, start) {
+func (r *record) clear(instance string) bool {
+	if slices.Contains(r.cleared, instance) {
 		return false
 	}
-	r.ends = slices.DeleteFunc(r.ends, func(s string) bool { return s == start })
-	r.cleared = append(r.cleared, start)
+	r.ends = slices.DeleteFunc(r.ends, func(s string) bool { return s == instance })
+	r.cleared = append(r.cleared, instance)
 	if over := len(r.cleared) - maxEnds; over > 0 {
 		r.cleared = r.cleared[over:]
 	}
@@ -83,8 +83,8 @@
 // clearAll clears all ends and reports whether there were any.
 func (r *record) clearAll() bool {
 	counted := slices.Clone(r.ends)
-	for _, start := range counted {
-		r.clear(start)
+	for _, instance := range counted {
+		r.clear(instance)
 	}
 	return len(counted) > 0
 }
@@ -92,11 +92,11 @@
 // merge adds the record of another host and reports whether this one changed.
 func (r *record) merge(w Entry) bool {
 	changed := false
-	for _, start := range w.Cleared {
-		changed = r.clear(start) || changed
+	for _, instance := range w.Cleared {
+		changed = r.clear(instance) || changed
 	}
-	for _, start := range w.Ends {
-		changed = r.add(start) || changed
+	for _, instance := range w.Ends {
+		changed = r.add(instance) || changed
 	}
 	return changed
 }
@@ -111,12 +111,12 @@
 	if r.barred() {
 		sum = xxhash.Sum64String(string(id[:]))
 	} else {
-		for _, start := range r.ends {
-			sum ^= xxhash.Sum64String(string(id[:]) + "+" + start)
+		for _, instance := range r.ends {
+			sum ^= xxhash.Sum64String(string(id[:]) + "+" + instance)
 		}
 	}
-	for _, start := range r.cleared {
-		sum ^= xxhash.Sum64String(string(id[:]) + "-" + start)
+	for _, instance := range r.cleared {
+		sum ^= xxhash.Sum64String(string(id[:]) + "-" + instance)
 	}
 	return sum
 }
