--- a/conductor/host.go
+++ b/conductor/host.go
@@ -35,7 +35,7 @@
 	Newest(ctx context.Context, f follower.Feed) (follower.FeedPage, error)
 	Read(ctx context.Context, f follower.Feed, from int64, wait time.Duration) (follower.FeedPage, error)
 	// Announce writes this host's announcement, by which other hosts find it.
-	Announce(ctx context.Context, host string, card []byte) error
+	Announce(ctx context.Context, host string, record []byte) error
 	// Announced returns the page of announcements, ordered by name, that begins after a name.
 	Announced(ctx context.Context, after string) (tracker.Announcements, error)
 	// Retract removes an announcement if the newest of all announcements ends at offset at.
--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -62,12 +62,12 @@
 
 // announce writes this host's announcement.
 func (h *Host) announce() {
-	card, err := codec.Marshal(h.node.opts.Self)
+	record, err := codec.Marshal(h.node.opts.Self)
 	if err != nil {
 		panic("conductor: host record cannot be encoded: " + err.Error())
 	}
 	start := h.opts.Timer.Now()
-	err = h.opts.Store.Announce(h.ctx, announcementName(h.node.opts.Self), card)
+	err = h.opts.Store.Announce(h.ctx, announcementName(h.node.opts.Self), record)
 	h.counters.storeCall("announce", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.HostsUnread)
@@ -115,9 +115,9 @@
 // decodeRecords returns the records of readable announcements.
 func (h *Host) decodeRecords(cards map[string][]byte) []tracker.HostRecord {
 	var out []tracker.HostRecord
-	for name, card := range cards {
+	for name, record := range cards {
 		var r tracker.HostRecord
-		if err := codec.Unmarshal(card, &r); err != nil {
+		if err := codec.Unmarshal(record, &r); err != nil {
 			h.log.Warn().Err(err).Str("Host", name).Msg(logger.HostRecordUnreadable)
 			continue
 		}
