--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -56,9 +56,9 @@
 	assert.Equal(t, n.feeds[follower.FeedOperator].currentAt, start.Add(resumed+500*time.Millisecond), "later messages have a known age again")
 }
 
-// TestUnheardHostsAreNotNamed: hosts known only from their announcements are marked unheard until
+// TestUncontactedHostsAreNotNamed: hosts known only from their announcements are marked unheard until
 // they have sent a message or connected.
-func TestUnheardHostsAreNotNamed(t *testing.T) {
+func TestUncontactedHostsAreNotNamed(t *testing.T) {
 	record := func(host string) tracker.HostRecord {
 		return tracker.HostRecord{Host: host, Incarnation: 1, State: tracker.HostLive, Peers: host, Callers: host}
 	}
--- a/forwarder/reach_test.go
+++ b/forwarder/reach_test.go
@@ -31,9 +31,9 @@
 	assert.Assert(t, p.Refuses(address))
 }
 
-// TestGone checks that an open idle connection makes a probe unnecessary, and that the
+// TestTerminated checks that an open idle connection makes a probe unnecessary, and that the
 // address is probed once the connection is closed.
-func TestGone(t *testing.T) {
+func TestTerminated(t *testing.T) {
 	p := NewPool(PoolOptions{})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
