--- a/claimer/owner.go
+++ b/claimer/owner.go
@@ -76,8 +76,8 @@
 // requests that wait for the outcome of another.
 func (o *Owner) Waiting() (pending, waiting int) { return len(o.pending), len(o.waiting) }
 
-// Hold sets the epoch of the lease that the owner holds; 0 means none.
-func (o *Owner) Hold(epoch uint64) Effects {
+// SetEpoch sets the epoch of the lease that the owner holds; 0 means none.
+func (o *Owner) SetEpoch(epoch uint64) Effects {
 	var fx Effects
 	if epoch == o.epoch {
 		return fx
@@ -105,8 +105,8 @@
 	return out
 }
 
-// Request processes a claim from a host.
-func (o *Owner) Request(now time.Time, from string, r Request) Effects {
+// HandleRequest processes a claim from a host.
+func (o *Owner) HandleRequest(now time.Time, from string, r Request) Effects {
 	var fx Effects
 	if !o.Serving() {
 		return fx.reply(from, Reply{Nonce: r.Nonce, Result: ResultNotOwner})
@@ -181,8 +181,8 @@
 	}
 }
 
-// Outcome processes the outcome of a claim, as reported by its claimant.
-func (o *Owner) Outcome(from string, out Outcome) Effects {
+// HandleOutcome processes the outcome of a claim, as reported by its claimant.
+func (o *Owner) HandleOutcome(from string, out Outcome) Effects {
 	var fx Effects
 	if !o.Serving() {
 		return fx.reply(from, Reply{Nonce: out.Nonce, Result: ResultNotOwner, Ack: false})
@@ -273,7 +273,7 @@
 			fx = fx.reply(w.from, finalReply(w.request, e))
 			continue
 		}
-		next := o.Request(now, w.from, w.request)
+		next := o.HandleRequest(now, w.from, w.request)
 		fx.Append = append(fx.Append, next.Append...)
 		fx.Send = append(fx.Send, next.Send...)
 	}
--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -39,7 +39,7 @@
 		return follower.Change{Upstream: up}, nil
 	}
 	if zone, ok := strings.CutPrefix(r.Key, "evacuate/"); ok {
-		return follower.Change{Evacuation: &follower.Evacuation{AvailabilityZone: zone, Over: text == ""}}, nil
+		return follower.Change{Evacuation: &follower.Evacuation{AvailabilityZone: zone, Ended: text == ""}}, nil
 	}
 	number, ok := strings.CutPrefix(text, "version ")
 	n, err := strconv.ParseUint(number, 10, 64)
@@ -139,32 +139,32 @@
 	c.announce(self)
 	s.node = NewNode(NodeOptions{
 		Self: self, Decoder: simDecoder{}, Timing: DefaultTiming(), FirstStart: c.firstStart,
-		Renewer: renewer.Options{Host: s.name, Term: 2 * time.Second, Turn: 3 * time.Second, Margin: 250 * time.Millisecond, AtOnce: 3},
-		Busy:    func(string) int { return 0 },
-		Kept:    func() []placer.Placement { return nil },
-		Stores:  func() []placer.StoreReport { return nil },
+		Renewer:      renewer.Options{Host: s.name, Term: 2 * time.Second, HandoverGap: 3 * time.Second, Margin: 250 * time.Millisecond, AtOnce: 3},
+		Busy:         func(string) int { return 0 },
+		Placements:   func() []placer.Placement { return nil },
+		StoreReports: func() []placer.StoreReport { return nil },
 	})
 	if c.isolated {
-		s.inbox = append(s.inbox, HostsFound{Hosts: []tracker.HostRecord{self}})
+		s.inbox = append(s.inbox, AnnouncementsRead{Hosts: []tracker.HostRecord{self}})
 		return
 	}
-	s.inbox = append(s.inbox, HostsFound{Hosts: c.announced()})
+	s.inbox = append(s.inbox, AnnouncementsRead{Hosts: c.announced()})
 	for _, o := range c.nodes {
 		if o != s && o.node != nil {
-			o.inbox = append(o.inbox, HostsFound{Hosts: []tracker.HostRecord{self}})
+			o.inbox = append(o.inbox, AnnouncementsRead{Hosts: []tracker.HostRecord{self}})
 		}
 	}
 }
 
 // found returns what a starting host reads of the announcements.
-func (c *cluster) found(s *simNode) HostsFound {
+func (c *cluster) found(s *simNode) AnnouncementsRead {
 	switch {
 	case s.access != accessOK:
-		return HostsFound{Err: errors.New("refused")}
+		return AnnouncementsRead{Err: errors.New("refused")}
 	case c.isolated:
-		return HostsFound{Hosts: []tracker.HostRecord{s.node.opts.Self}}
+		return AnnouncementsRead{Hosts: []tracker.HostRecord{s.node.opts.Self}}
 	}
-	return HostsFound{Hosts: c.announced()}
+	return AnnouncementsRead{Hosts: c.announced()}
 }
 
 // announced returns all announcements, including those of hosts that are down.
@@ -217,14 +217,14 @@
 	if !c.idle {
 		r.Work["engine"] = placer.Work{Requests: 1}
 	}
-	return WorkReported{Report: r, Use: c.use}
+	return WorkReported{Report: r, CoresInUse: c.use}
 }
 
 // answerReads completes the node's pending reads that are due.
 func (c *cluster) answerReads(s *simNode) {
 	var pending []*simRead
 	for _, w := range s.waiting {
-		ev := FeedRead{News: follower.News{Feed: w.read.Feed}, Asked: w.start, Wait: w.read.Wait}
+		ev := FeedRead{Page: follower.FeedPage{Feed: w.read.Feed}, RequestedAt: w.start, Wait: w.read.Wait}
 		log := c.logs[w.read.Feed]
 		silent := w.silent || s.access == accessSilent
 		w.silent = silent
@@ -237,23 +237,23 @@
 		case silent:
 			ev.Err = errors.New("no answer")
 		case w.read.Full:
-			ev.News = c.listing(w.read.Feed)
+			ev.Page = c.listing(w.read.Feed)
 		case w.read.From < c.oldest[w.read.Feed]:
-			ev.Err = follower.ErrForgotten
+			ev.Err = follower.ErrCompacted
 		case int64(len(log)) <= w.read.From && c.now.Before(w.deadline):
 			pending = append(pending, w)
 			continue
 		default:
-			ev.News.From, ev.News.Next = w.read.From, int64(len(log))
-			ev.News.Records = log[min(w.read.From, int64(len(log))):]
+			ev.Page.From, ev.Page.Next = w.read.From, int64(len(log))
+			ev.Page.Records = log[min(w.read.From, int64(len(log))):]
 		}
 		s.inbox = append(s.inbox, ev)
 	}
 	s.waiting = pending
 }
 
-func (c *cluster) listing(f follower.Feed) follower.News {
-	news := follower.News{Feed: f, Full: true, Next: int64(len(c.logs[f]))}
+func (c *cluster) listing(f follower.Feed) follower.FeedPage {
+	news := follower.FeedPage{Feed: f, Full: true, Next: int64(len(c.logs[f]))}
 	newest := make(map[string]follower.Record)
 	for _, r := range c.logs[f] {
 		newest[r.Key] = r
@@ -275,7 +275,7 @@
 			if c.reaches(s, to) {
 				to.inbox = append(to.inbox, PeerMessage{From: s.name, Message: a.Message})
 			}
-		case Spread:
+		case SendAll:
 			c.sent[s.name] += len(a.To)
 			for _, t := range a.To {
 				if to := c.byName[t.Host]; c.reaches(s, to) {
@@ -288,11 +288,11 @@
 				c.listingReads++
 			}
 			s.waiting = append(s.waiting, &simRead{read: a, start: c.now, deadline: c.now.Add(a.Wait), silent: s.access == accessSilent})
-		case Find:
+		case ReadAnnouncements:
 			s.inbox = append(s.inbox, c.found(s))
-		case Seek:
+		case ReadAllAnnouncements:
 			c.searches++
-			s.inbox = append(s.inbox, HostsSought{Hosts: c.announced(), Whole: true, End: c.announcementsEnd})
+			s.inbox = append(s.inbox, AllAnnouncementsRead{Hosts: c.announced(), Complete: true, End: c.announcementsEnd})
 		case Announce:
 			c.announce(s.node.opts.Self)
 			s.inbox = append(s.inbox, Announced{})
@@ -333,7 +333,7 @@
 	for _, s := range c.nodes {
 		for _, o := range c.nodes {
 			if !c.reaches(s, o) {
-				s.inbox = append(s.inbox, PeerUp{Host: o.name, Address: o.name})
+				s.inbox = append(s.inbox, PeerConnected{Host: o.name, Address: o.name})
 			}
 		}
 	}
--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -31,13 +31,13 @@
 	start := time.Unix(5000, 0)
 	next := int64(0)
 	receive := func(at time.Duration, full bool, values ...string) {
-		news := follower.News{Feed: follower.FeedOperator, Full: full, From: next}
+		news := follower.FeedPage{Feed: follower.FeedOperator, Full: full, From: next}
 		for _, v := range values {
 			news.Records = append(news.Records, follower.Record{Key: "weights", Value: []byte(v), Offset: next})
 			next++
 		}
 		news.Next = next
-		n.Handle(start.Add(at), PeerMessage{From: "b", Message: &messenger.Message{News: []follower.News{news}}})
+		n.Handle(start.Add(at), PeerMessage{From: "b", Message: &messenger.Message{FeedPages: []follower.FeedPage{news}}})
 	}
 	receive(0, true, "1")
 	lastOnTime := time.Duration(0)
@@ -49,32 +49,32 @@
 	receive(resumed, false)
 	receive(resumed+10*time.Millisecond, false, "2")
 	receive(resumed+20*time.Millisecond, false)
-	named := n.state.View().Named["m"]
+	named := n.state.View().Versions["m"]
 	assert.Equal(t, named.Version, uint64(2), "the content of delayed messages holds")
 	assert.Equal(t, named.InForceUntil(1), start.Add(lastOnTime))
 	receive(resumed+500*time.Millisecond, false)
 	assert.Equal(t, n.feeds[follower.FeedOperator].currentAt, start.Add(resumed+500*time.Millisecond), "later messages have a known age again")
 }
 
-// TestUnheardHostsAreNotNamed: hosts known only from their announcements are marked unheard until
+// TestUncontactedHostsAreNotNamed: hosts known only from their announcements are marked unheard until
 // they have sent a message or connected.
-func TestUnheardHostsAreNotNamed(t *testing.T) {
+func TestUncontactedHostsAreNotNamed(t *testing.T) {
 	record := func(host string) tracker.HostRecord {
 		return tracker.HostRecord{Host: host, Incarnation: 1, State: tracker.HostLive, Peers: host, Callers: host}
 	}
 	n := NewNode(NodeOptions{
 		Self: record("a"), Decoder: weightsDecoder{}, Timing: DefaultTiming(),
-		Kept: func() []placer.Placement { return nil }, Stores: func() []placer.StoreReport { return nil },
+		Placements: func() []placer.Placement { return nil }, StoreReports: func() []placer.StoreReport { return nil },
 	})
 	unheard := func(ev Event) map[string]bool {
 		for _, a := range n.Handle(time.Unix(5000, 0), ev) {
 			if p, ok := a.(PublishHosts); ok {
-				return p.Unheard
+				return p.Uncontacted
 			}
 		}
 		return nil
 	}
-	assert.DeepEqual(t, unheard(HostsFound{Hosts: []tracker.HostRecord{record("b"), record("c")}}), map[string]bool{"b": true, "c": true})
-	assert.DeepEqual(t, unheard(PeerUp{Host: "b"}), map[string]bool{"c": true})
+	assert.DeepEqual(t, unheard(AnnouncementsRead{Hosts: []tracker.HostRecord{record("b"), record("c")}}), map[string]bool{"b": true, "c": true})
+	assert.DeepEqual(t, unheard(PeerConnected{Host: "b"}), map[string]bool{"c": true})
 	assert.DeepEqual(t, unheard(PeerMessage{From: "c", Message: &messenger.Message{}}), map[string]bool{})
 }
--- a/conductor/evacuation_test.go
+++ b/conductor/evacuation_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	for _, s := range c.nodes {
 		if !s.down {
-			got := s.node.view.Taking("s")
+			got := s.node.view.Accepting("s")
 			assert.Assert(t, slices.Equal(got, want), "%s, %s of %d: %v", when, s.name, len(c.nodes), got)
 		}
 	}
@@ -62,7 +62,7 @@
 		}
 		c.run(evacuationBound)
 		c.wantUpstreams(t, "the other zone", "a@east")
-		assert.Assert(t, !last.node.view.Returned["east"].IsZero() || hosts == 1)
+		assert.Assert(t, !last.node.view.EvacuationsEnded["east"].IsZero() || hosts == 1)
 		c.write(follower.FeedOperator, "evacuate/west", "")
 		c.run(evacuationBound)
 		c.wantUpstreams(t, "taken back", "a@east", "b@west")
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -24,10 +24,10 @@
 
 // FeedRead is the result of a Read.
 type FeedRead struct {
-	News  follower.News
-	Asked time.Time     // Asked is when the request was sent.
-	Wait  time.Duration // Wait is how long the store could wait for a record.
-	Err   error
+	Page        follower.FeedPage
+	RequestedAt time.Time     // RequestedAt is when the request was sent.
+	Wait        time.Duration // Wait is how long the store could wait for a record.
+	Err         error
 }
 
 // PeerMessage is a message from another host.
@@ -36,14 +36,14 @@
 	Message *messenger.Message
 }
 
-// PeerUp reports that a connection to another host was opened.
-type PeerUp struct {
+// PeerConnected reports that a connection to another host was opened.
+type PeerConnected struct {
 	Host    string
 	Address string // Address is where other hosts connect to it.
 }
 
-// HostsFound is the result of a Find: a page of announcements of hosts, which may have ended.
-type HostsFound struct {
+// AnnouncementsRead is the result of ReadAnnouncements: a page of announcements of hosts, which may have ended.
+type AnnouncementsRead struct {
 	Hosts []tracker.HostRecord
 	Next  string // Next is where the next page begins; empty if this is the last.
 	Err   error
@@ -52,18 +52,18 @@
 // Announced is the result of an Announce.
 type Announced struct{ Err error }
 
-// HostsSought is the result of a Seek. Some announcements may be long out of date.
-type HostsSought struct {
-	Hosts []tracker.HostRecord
-	Whole bool  // Whole reports whether all announcements were read.
-	End   int64 // End is the offset after the newest announcement when the first page was read.
+// AllAnnouncementsRead is the result of ReadAllAnnouncements. Some announcements may be long out of date.
+type AllAnnouncementsRead struct {
+	Hosts    []tracker.HostRecord
+	Complete bool  // Complete reports whether all announcements were read.
+	End      int64 // End is the offset after the newest announcement when the first page was read.
 }
 
 // WorkReported is this host's load report for the others.
 type WorkReported struct {
-	Report placer.Report
-	Urgent bool    // Urgent marks a report sent between two intervals, for a long prompt.
-	Use    float64 // Use is the number of processor cores in use by this host.
+	Report     placer.Report
+	Urgent     bool    // Urgent marks a report sent between two intervals, for a long prompt.
+	CoresInUse float64 // CoresInUse is the number of processor cores in use by this host.
 }
 
 // RenewalEnd is the result of a renewer's command.
@@ -72,7 +72,7 @@
 	Lease    renewer.Lease       // Lease is the answer to ReadLease.
 	Conflict bool                // Conflict reports that WriteLease found another record.
 	Result   renewer.OrderResult // Result is the answer to Order.
-	Busy     bool                // Busy and Version are the answer to Ask.
+	Busy     bool                // Busy and Version are the answer to QueryVersion.
 	Version  uint64
 	Err      error
 }
@@ -84,33 +84,33 @@
 // lacks.
 type StoreGap struct{ From string }
 
-// NamingsRestored holds the weight versions that earlier hosts saved.
-type NamingsRestored struct{ Namings []follower.Naming }
+// VersionAgesRestored holds the weight versions that earlier hosts saved.
+type VersionAgesRestored struct{ VersionAges []follower.VersionAge }
 
 // QuarantineChanged reports that the quarantine has news for the other hosts.
 type QuarantineChanged struct{}
 
 // QuarantineRestored holds the bars that earlier hosts saved.
-type QuarantineRestored struct{ Words []quarantiner.Word }
+type QuarantineRestored struct{ Entries []quarantiner.Entry }
 
 // DrainStarted reports that this host is about to end.
 type DrainStarted struct{}
 
-func (Tick) event()               {}
-func (FeedRead) event()           {}
-func (PeerMessage) event()        {}
-func (PeerUp) event()             {}
-func (HostsFound) event()         {}
-func (Announced) event()          {}
-func (HostsSought) event()        {}
-func (WorkReported) event()       {}
-func (RenewalEnd) event()         {}
-func (StoreReported) event()      {}
-func (StoreGap) event()           {}
-func (NamingsRestored) event()    {}
-func (QuarantineChanged) event()  {}
-func (QuarantineRestored) event() {}
-func (DrainStarted) event()       {}
+func (Tick) event()                 {}
+func (FeedRead) event()             {}
+func (PeerMessage) event()          {}
+func (PeerConnected) event()        {}
+func (AnnouncementsRead) event()    {}
+func (Announced) event()            {}
+func (AllAnnouncementsRead) event() {}
+func (WorkReported) event()         {}
+func (RenewalEnd) event()           {}
+func (StoreReported) event()        {}
+func (StoreGap) event()             {}
+func (VersionAgesRestored) event()  {}
+func (QuarantineChanged) event()    {}
+func (QuarantineRestored) event()   {}
+func (DrainStarted) event()         {}
 
 // Action is an output of a Node, to be executed by its host.
 type Action interface{ action() }
@@ -122,8 +122,8 @@
 	Message *messenger.Message
 }
 
-// Spread sends a message to several hosts.
-type Spread struct {
+// SendAll sends a message to several hosts.
+type SendAll struct {
 	To      []messenger.Target
 	Message *messenger.Message
 }
@@ -142,11 +142,11 @@
 	Wait time.Duration // Wait is how long the store may wait for a record.
 }
 
-// Find reads the page of announcements that begins after a name.
-type Find struct{ After string }
+// ReadAnnouncements reads the page of announcements that begins after a name.
+type ReadAnnouncements struct{ After string }
 
-// Seek reads all announcements of hosts.
-type Seek struct{}
+// ReadAllAnnouncements reads all announcements of hosts.
+type ReadAllAnnouncements struct{}
 
 // Announce writes this host's announcement.
 type Announce struct{}
@@ -162,9 +162,9 @@
 
 // PublishHosts publishes a new list of hosts to the directory.
 type PublishHosts struct {
-	Hosts   []tracker.HostRecord
-	Unheard map[string]bool // Unheard are hosts known only from their announcements; they may have ended.
-	Serving activator.Selection
+	Hosts       []tracker.HostRecord
+	Uncontacted map[string]bool // Uncontacted are hosts known only from their announcements; they may have ended.
+	Active      activator.Selection
 }
 
 // ApplyReport passes another host's report, or a sum of reports, to the placer.
@@ -216,19 +216,19 @@
 	LogListingApplied  LogKind = logger.ListingApplied
 )
 
-func (Send) action()             {}
-func (Spread) action()           {}
-func (ApplyStoreReport) action() {}
-func (Read) action()             {}
-func (Find) action()             {}
-func (Seek) action()             {}
-func (Announce) action()         {}
-func (Retract) action()          {}
-func (PublishView) action()      {}
-func (PublishHosts) action()     {}
-func (ApplyReport) action()      {}
-func (Renew) action()            {}
-func (FeedCurrent) action()      {}
-func (PublishPhases) action()    {}
-func (PublishCell) action()      {}
-func (LogEvent) action()         {}
+func (Send) action()                 {}
+func (SendAll) action()              {}
+func (ApplyStoreReport) action()     {}
+func (Read) action()                 {}
+func (ReadAnnouncements) action()    {}
+func (ReadAllAnnouncements) action() {}
+func (Announce) action()             {}
+func (Retract) action()              {}
+func (PublishView) action()          {}
+func (PublishHosts) action()         {}
+func (ApplyReport) action()          {}
+func (Renew) action()                {}
+func (FeedCurrent) action()          {}
+func (PublishPhases) action()        {}
+func (PublishCell) action()          {}
+func (LogEvent) action()             {}
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -51,7 +51,7 @@
 	} else {
 		f.listingRequests++
 	}
-	n.send(host, &messenger.Message{Lacks: map[follower.Feed]int64{name: from}})
+	n.send(host, &messenger.Message{FeedRequests: map[follower.Feed]int64{name: from}})
 }
 
 // requestListing asks a ready host of this zone for a whole feed, rather than waiting until a
@@ -106,7 +106,7 @@
 // whole feeds, whose transfer over a slow link takes long.
 func (n *Node) askInterval(f *feed) time.Duration {
 	if f.loaded || n.topology().small {
-		return n.opts.Timing.AskInterval
+		return n.opts.Timing.PageRequestInterval
 	}
 	return n.opts.Timing.ListingInterval << min(f.listingRequests, maxBackoffDoublings)
 }
@@ -122,17 +122,17 @@
 )
 
 func (n *Node) requestStores(now time.Time, host string) {
-	if now.Sub(n.lastStores) < n.opts.Timing.AskInterval {
+	if now.Sub(n.lastStores) < n.opts.Timing.PageRequestInterval {
 		return
 	}
 	n.lastStores = now
-	n.send(host, &messenger.Message{Wants: []string{wantStores}})
+	n.send(host, &messenger.Message{SnapshotRequests: []string{wantStores}})
 }
 
 // answerWants answers the requests of another host.
 func (n *Node) answerWants(to string, wants []string) {
 	if slices.Contains(wants, wantStores) {
-		n.send(to, &messenger.Message{Stores: n.opts.Stores()})
+		n.send(to, &messenger.Message{Stores: n.opts.StoreReports()})
 	}
 	if slices.Contains(wants, wantKept) {
 		n.send(to, n.cacheState())
@@ -151,9 +151,9 @@
 			continue
 		}
 		if from >= f.droppedFrom {
-			news := follower.News{Feed: name, Kept: true, From: from, Next: f.next,
+			news := follower.FeedPage{Feed: name, FromMemory: true, From: from, Next: f.next,
 				Age: now.Sub(f.currentAt), Records: f.changesSince(from)}
-			n.send(to, &messenger.Message{News: []follower.News{news}})
+			n.send(to, &messenger.Message{FeedPages: []follower.FeedPage{news}})
 			continue
 		}
 		n.send(to, f.listing(now, name))
@@ -174,11 +174,11 @@
 	if f.cached.message != nil && now.Sub(f.cached.made) < listingTTL {
 		return f.cached.message
 	}
-	news := follower.News{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.currentAt) + listingTTL}
+	news := follower.FeedPage{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.currentAt) + listingTTL}
 	for _, r := range f.newest {
 		news.Records = append(news.Records, r.Record)
 	}
-	f.cached = cachedListing{message: &messenger.Message{News: []follower.News{news}}, made: now}
+	f.cached = cachedListing{message: &messenger.Message{FeedPages: []follower.FeedPage{news}}, made: now}
 	return f.cached.message
 }
 
@@ -228,15 +228,15 @@
 }
 
 // receivePages applies pages that another host sent.
-func (n *Node) receivePages(now time.Time, pages []follower.News) {
+func (n *Node) receivePages(now time.Time, pages []follower.FeedPage) {
 	for _, news := range pages {
 		f, ok := n.feeds[news.Feed]
 		if !ok || news.Full && f.loaded && news.Next <= f.next {
 			continue
 		}
-		if !news.Full && !news.Kept {
+		if !news.Full && !news.FromMemory {
 			f.heardPage = true
-			n.state.Answered(now) // the store has answered another host, so it is reachable
+			n.state.StoreAnswered(now) // the store has answered another host, so it is reachable
 		}
 		n.applyPage(now, news, now.Add(-news.Age))
 	}
--- a/conductor/host.go
+++ b/conductor/host.go
@@ -32,18 +32,18 @@
 // Store is the platform's store.
 type Store interface {
 	Decoder
-	Newest(ctx context.Context, f follower.Feed) (follower.News, error)
-	Read(ctx context.Context, f follower.Feed, from int64, wait time.Duration) (follower.News, error)
+	Newest(ctx context.Context, f follower.Feed) (follower.FeedPage, error)
+	Read(ctx context.Context, f follower.Feed, from int64, wait time.Duration) (follower.FeedPage, error)
 	// Announce writes this host's announcement, by which other hosts find it.
-	Announce(ctx context.Context, host string, card []byte) error
+	Announce(ctx context.Context, host string, record []byte) error
 	// Announced returns the page of announcements, ordered by name, that begins after a name.
 	Announced(ctx context.Context, after string) (tracker.Announcements, error)
 	// Retract removes an announcement if the newest of all announcements ends at offset at.
 	Retract(ctx context.Context, name string, at int64) error
-	// Note saves a value under a key, for hosts that start after the whole fleet was down. Notes
+	// Save saves a value under a key, for hosts that start after the whole fleet was down. Saved
 	// returns all saved values.
-	Note(ctx context.Context, key string, value []byte) error
-	Notes(ctx context.Context) (map[string][]byte, error)
+	Save(ctx context.Context, key string, value []byte) error
+	Saved(ctx context.Context) (map[string][]byte, error)
 	// Lease returns the newest record of a lease and the offset after it; end is 0 if there is
 	// none.
 	Lease(ctx context.Context, name string) (record []byte, end int64, err error)
@@ -55,30 +55,30 @@
 // Engines sends orders to engines.
 type Engines interface {
 	Order(ctx context.Context, holder string, o renewer.Order) renewer.OrderResult
-	// Ask reports whether an engine is carrying out an order, and its version of a model.
-	Ask(ctx context.Context, a renewer.Ask) (busy bool, version uint64, err error)
+	// QueryVersion reports whether an engine is carrying out an order, and its version of a model.
+	QueryVersion(ctx context.Context, q renewer.QueryVersion) (busy bool, version uint64, err error)
 }
 
 // Edge serves callers in the platform's protocol.
 type Edge interface {
-	Callers() http.Handler
+	RequestHandler() http.Handler
 	ReadyHandler() http.Handler
-	Directory() http.Handler
+	DirectoryHandler() http.Handler
 }
 
 // Options configures a Host.
 type Options struct {
-	Settings loader.Settings
-	Store    Store
-	Sender   exchanger.Sender
-	Engines  Engines
-	Stores   Stores
-	Pool     *forwarder.Pool
-	Edge     func(h *Host) Edge
-	Timing   Timing
-	Timer    timer.Service
-	Log      *logger.Logger
-	Dropped  func() uint64 // Dropped returns the number of log lines lost to a slow writer.
+	Settings    loader.Settings
+	Store       Store
+	Sender      exchanger.Sender
+	Engines     Engines
+	CacheStores CacheStores
+	Pool        *forwarder.Pool
+	Edge        func(h *Host) Edge
+	Timing      Timing
+	Timer       timer.Service
+	Log         *logger.Logger
+	Dropped     func() uint64 // Dropped returns the number of log lines lost to a slow writer.
 }
 
 // Host is one process of the system.
@@ -87,7 +87,7 @@
 	log        *logger.Logger
 	node       *Node
 	placer     *placer.Placer
-	budget     *retrier.Shared
+	budget     *retrier.SharedBudgets
 	quarantine *quarantiner.Ledger
 	exchanger  *exchanger.Exchanger
 	messenger  *messenger.Messenger
@@ -138,7 +138,7 @@
 		reportRequested:   make(chan struct{}, 1),
 		quarantineChanged: make(chan struct{}, 1),
 		capacityFreed:     make(chan struct{}, 1),
-		budget:            retrier.NewShared(retrier.Allowance{Share: s.Platform.RetryShare, Slack: s.Platform.RetrySlack}),
+		budget:            retrier.NewSharedBudgets(retrier.Allowance{Share: s.Platform.RetryShare, Slack: s.Platform.RetrySlack}),
 	}
 	h.quarantine = quarantiner.New(quarantiner.Options{Changed: h.signalQuarantineChange, Barred: h.logBarred})
 	h.placer = h.newPlacer()
@@ -151,7 +151,7 @@
 	// of a starting fleet would watch all KV cache stores.
 	h.serving.Store(&activator.Selection{})
 	h.exchanger = exchanger.New(exchanger.Options{
-		Beliefs:    &h.view,
+		Views:      &h.view,
 		Placer:     h.placer,
 		Sender:     opts.Sender,
 		Budget:     h.budget,
@@ -159,15 +159,15 @@
 		Chosen:     h.logChoice,
 		Quarantine: h.quarantine,
 		Refuses:    opts.Pool.Refuses,
-		Gone:       opts.Pool.Gone,
+		Terminated: opts.Pool.Terminated,
 		Ended:      h.logUpstreamEnded,
 	})
 	h.messenger = messenger.New(messenger.Options{
-		Self:    messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
-		Secret:  []byte(s.PeerSecret),
-		Receive: h.receive,
-		Up:      func(host, address string) { h.post(PeerUp{Host: host, Address: address}) },
-		Log:     opts.Log.Logger,
+		Self:      messenger.Hello{Host: self.Host, Incarnation: self.Incarnation},
+		Secret:    []byte(s.PeerSecret),
+		Receive:   h.receive,
+		OnConnect: func(host, address string) { h.post(PeerConnected{Host: host, Address: address}) },
+		Log:       opts.Log.Logger,
 	})
 	h.counters = newCounters(h)
 	return h
@@ -192,9 +192,9 @@
 		endpoint loader.Endpoint
 		handler  http.Handler
 	}{
-		{s.Callers, edge.Callers()},
+		{s.Callers, edge.RequestHandler()},
 		{s.Platform.Ready, edge.ReadyHandler()},
-		{s.Platform.Directory, edge.Directory()},
+		{s.Platform.Directory, edge.DirectoryHandler()},
 		{s.Peers, h.messenger.Handler()},
 		{s.Operators, h.operators()},
 	} {
@@ -210,7 +210,7 @@
 	h.spawn(h.admitWaiting)
 	cancelTick := h.opts.Timer.Every(h.opts.Timing.Tick, func(time.Time) { h.post(Tick{}) })
 	cancelReport := h.opts.Timer.Every(h.opts.Timing.Report, h.report)
-	cancelAccount := h.opts.Timer.Every(time.Second, func(time.Time) { h.log.Account() })
+	cancelAccount := h.opts.Timer.Every(time.Second, func(time.Time) { h.log.ReportOmitted() })
 	context.AfterFunc(h.ctx, cancelTick)
 	context.AfterFunc(h.ctx, cancelAccount)
 	context.AfterFunc(h.ctx, cancelReport)
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -56,7 +56,7 @@
 // the others.
 func (n *Node) neighboursByPace() (fast, slow []string) {
 	for _, h := range n.hosts.Neighbours() {
-		if n.hosts.Prompt(h) {
+		if n.hosts.FrequentHeartbeats(h) {
 			fast = append(fast, h)
 		} else {
 			slow = append(slow, h)
@@ -83,7 +83,7 @@
 		}
 	}
 	if len(to) > 0 {
-		n.emit(Spread{To: to, Message: m})
+		n.emit(SendAll{To: to, Message: m})
 	}
 }
 
@@ -99,22 +99,22 @@
 	t := n.topology()
 	n.lastGreeted[host] = now
 	n.emit(Send{To: host, Address: address, Message: n.greeting(now)})
-	if slices.Contains(t.active, host) && tracker.Place(t.active, n.opts.Self.Host, "teller/"+host) == 0 {
+	if slices.Contains(t.active, host) && tracker.RankIndex(t.active, n.opts.Self.Host, "teller/"+host) == 0 {
 		n.send(host, n.cacheState())
 	}
 }
 
 // cacheState returns what this host knows of KV caches.
 func (n *Node) cacheState() *messenger.Message {
-	return &messenger.Message{Report: &placer.Report{Placed: n.opts.Kept()}, Stores: n.opts.Stores()}
+	return &messenger.Message{Report: &placer.Report{Placed: n.opts.Placements()}, Stores: n.opts.StoreReports()}
 }
 
 func (n *Node) handlePeerMessage(now time.Time, ev PeerMessage) {
 	m := ev.Message
-	n.introducer.Met()
-	n.hostsDirty = n.hosts.Heard(now, ev.From) || n.hostsDirty
+	n.introducer.Contacted()
+	n.hostsDirty = n.hosts.RecordContact(now, ev.From) || n.hostsDirty
 	if n.arrivals.mayBeStale(now, ev.From) {
-		m = m.WithNews(withUnknownAge(m.News))
+		m = m.WithFeedPages(withUnknownAge(m.FeedPages))
 	}
 	if m.Digest != 0 && !m.Full && !slices.Contains(n.hosts.Neighbours(), ev.From) {
 		// A host that counts this one among its neighbours must hear from it, or suspects it.
@@ -122,15 +122,15 @@
 	}
 	n.mergeHosts(now, ev.From, m.Hosts)
 	n.notifySuspect(ev.From)
-	n.answerWants(ev.From, m.Wants)
-	n.sendMissing(now, ev.From, m.Lacks)
-	n.receivePages(now, m.News)
-	if len(m.Namings) > 0 {
-		n.viewDirty = n.state.Recall(now, m.Namings) || n.viewDirty
+	n.answerWants(ev.From, m.SnapshotRequests)
+	n.sendMissing(now, ev.From, m.FeedRequests)
+	n.receivePages(now, m.FeedPages)
+	if len(m.VersionAges) > 0 {
+		n.viewDirty = n.state.MergeVersionAges(now, m.VersionAges) || n.viewDirty
 	}
 	n.compareOffsets(now, ev.From, m.Offsets)
 	if m.Renewal != nil {
-		n.renewer.Heard(now, m.Renewal)
+		n.renewer.HandleStatus(now, m.Renewal)
 		for _, done := range m.Renewal.Renewed {
 			n.renewed(done)
 		}
@@ -213,7 +213,7 @@
 
 // markLeaving marks this host as leaving in its record.
 func (n *Node) markLeaving() {
-	self, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving })
+	self, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving })
 	if changed {
 		n.recordHostChanges([]tracker.HostRecord{self})
 		n.sendHostsToNeighbours("", []tracker.HostRecord{self})
--- a/conductor/kept.go
+++ b/conductor/kept.go
@@ -13,16 +13,16 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// Stores is the client of the KV cache stores.
-type Stores interface {
-	// Kept returns a store's changes since an earlier answer; lost reports that some of them are no
+// CacheStores is the client of the KV cache stores.
+type CacheStores interface {
+	// Changes returns a store's changes since an earlier answer; lost reports that some of them are no
 	// longer available.
-	Kept(ctx context.Context, address string, since int64, wait time.Duration) (
-		news placer.StoreNews, next int64, lost bool, err error)
-	// KeptAll returns all contents of a store.
-	KeptAll(ctx context.Context, address string) (news placer.StoreNews, next int64, err error)
+	Changes(ctx context.Context, address string, since int64, wait time.Duration) (
+		news placer.StoreChanges, next int64, lost bool, err error)
+	// Contents returns all contents of a store.
+	Contents(ctx context.Context, address string) (news placer.StoreChanges, next int64, err error)
 	// Free evicts parts from a store.
-	Free(ctx context.Context, f placer.Freed) error
+	Free(ctx context.Context, f placer.UnusedParts) error
 }
 
 const (
@@ -42,7 +42,7 @@
 	wanted := make(map[string]bool)
 	names := h.serving.Load().Hosts()
 	for _, s := range view.Table.Services() {
-		if s.Store == nil || tracker.Place(names, h.opts.Settings.Host, "store/"+s.Store.Address) != 0 {
+		if s.Store == nil || tracker.RankIndex(names, h.opts.Settings.Host, "store/"+s.Store.Address) != 0 {
 			continue
 		}
 		address := s.Store.Address
@@ -76,15 +76,15 @@
 		}
 		if err != nil {
 			h.placer.StoreLost(address)
-			h.post(StoreReported{Report: placer.StoreReport{Address: address, Lost: true}})
+			h.post(StoreReported{Report: placer.StoreReport{Address: address, Down: true}})
 			pause(ctx, delay)
 			delay = min(2*delay, maxRetryDelay)
 			continue
 		}
 		delay = h.opts.Timing.RetryDelay
 		since, epoch = next, news.Epoch
-		h.placer.StoreHeard(h.opts.Timer.Now(), address, news)
-		h.post(StoreReported{Report: placer.StoreReport{Address: address, News: news}})
+		h.placer.ApplyStoreChanges(h.opts.Timer.Now(), address, news)
+		h.post(StoreReported{Report: placer.StoreReport{Address: address, Changes: news}})
 		if len(news.Changes) < storePage {
 			pause(ctx, storeBatchDelay)
 		}
@@ -92,17 +92,17 @@
 }
 
 // readStore returns a store's changes, or all its contents if it has restarted or changes were lost.
-func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreNews, int64, error) {
+func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreChanges, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeWait+storeTimeout)
 	defer cancel()
-	news, next, lost, err := h.opts.Stores.Kept(ctx, address, since, storeWait)
+	news, next, lost, err := h.opts.CacheStores.Changes(ctx, address, since, storeWait)
 	if err != nil {
 		return news, next, err
 	}
 	if !lost && (news.Epoch == epoch || since == 0) {
 		return news, next, nil
 	}
-	return h.opts.Stores.KeptAll(ctx, address)
+	return h.opts.CacheStores.Contents(ctx, address)
 }
 
 // freeUnused evicts KV caches of replaced weights that no host can still be fetching.
@@ -111,7 +111,7 @@
 	unused := h.placer.Unused(func(text string) bool { return inUse(view, now, text, after) })
 	for _, f := range unused {
 		ctx, cancel := context.WithTimeout(h.ctx, storeTimeout)
-		err := h.opts.Stores.Free(ctx, f)
+		err := h.opts.CacheStores.Free(ctx, f)
 		cancel()
 		h.log.Info().Str("Store", f.Address).Int("Parts", len(f.Parts)).AnErr("Failure", err).Msg(logger.KeptContextFreed)
 	}
@@ -124,7 +124,7 @@
 	if !ok {
 		return true
 	}
-	named := view.Named[salt.Model]
+	named := view.Versions[salt.Model]
 	return salt.Weights >= named.Version || now.Sub(named.Replaced(salt.Weights)) < after
 }
 
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -18,16 +18,16 @@
 func (h *Host) report(now time.Time) {
 	h.placer.Watch(now)
 	if now.Sub(h.started) > startupTime {
-		h.placer.SetSharers(h.senders.update(now, *h.hosts.Load(), *h.serving.Load()))
+		h.placer.SetColdHosts(h.senders.update(now, *h.hosts.Load(), *h.serving.Load()))
 	}
 	h.reportTicks++
 	if !h.serving.Load().All && h.reportTicks%largeFleetReportTicks != 0 {
 		return
 	}
-	h.placer.Forget(now)
+	h.placer.ExpireReports(now)
 	h.reportMu.Lock()
 	defer h.reportMu.Unlock()
-	h.post(WorkReported{Report: h.placer.Report(), Use: h.cpu.cores(now)})
+	h.post(WorkReported{Report: h.placer.Report(), CoresInUse: h.cpu.cores(now)})
 }
 
 // signalCapacity signals that upstreams may have room for waiting requests.
@@ -130,17 +130,17 @@
 	switch a := a.(type) {
 	case Send:
 		h.messenger.Send(a.To, a.Address, a.Message)
-	case Spread:
+	case SendAll:
 		h.messenger.SendAll(a.To, a.Message)
 	case ApplyStoreReport:
-		if !h.placer.StoreTold(h.opts.Timer.Now(), a.Report) {
+		if !h.placer.ApplyStoreReport(h.opts.Timer.Now(), a.Report) {
 			h.spawn(func() { h.post(StoreGap{From: a.From}) })
 		}
 	case Read:
 		h.spawn(func() { h.read(a) })
-	case Find:
+	case ReadAnnouncements:
 		h.spawn(func() { h.find(a.After) })
-	case Seek:
+	case ReadAllAnnouncements:
 		h.spawn(h.seek)
 	case Announce:
 		h.spawn(h.announce)
@@ -151,23 +151,23 @@
 		h.placer.Update(a.View)
 		h.watchStores(a.View)
 	case FeedCurrent:
-		h.placer.Trust(a.At)
+		h.placer.SetFeedCurrent(a.At)
 		h.counters.feedCurrent(follower.FeedOperator, a.At)
 	case PublishHosts:
-		h.evictsStores.Store(tracker.Place(a.Serving.Hosts(), h.opts.Settings.Host, "keeper") == 0)
+		h.evictsStores.Store(tracker.RankIndex(a.Active.Hosts(), h.opts.Settings.Host, "keeper") == 0)
 		h.hosts.Store(&a.Hosts)
-		h.unheard.Store(&a.Unheard)
-		h.serving.Store(&a.Serving)
+		h.unheard.Store(&a.Uncontacted)
+		h.serving.Store(&a.Active)
 		h.budget.SetHosts(h.shareCount())
 		h.watchStores(h.view.Load())
-		h.opts.Pool.Divide(h.shareCount())
-		h.tuneGC(a.Serving)
+		h.opts.Pool.SetHosts(h.shareCount())
+		h.tuneGC(a.Active)
 	case ApplyReport:
-		h.placer.Heard(h.opts.Timer.Now(), a.From, a.Report)
+		h.placer.ApplyReport(h.opts.Timer.Now(), a.From, a.Report)
 	case Renew:
 		h.spawn(func() { h.renew(a.Command) })
 	case PublishPhases:
-		h.placer.Renewing(a.Engines)
+		h.placer.SetPhases(a.Engines)
 	case PublishCell:
 		h.placer.SetCell(a.Own, a.Cells, a.Direct)
 	case LogEvent:
@@ -177,13 +177,13 @@
 
 func (h *Host) read(a Read) {
 	start := h.opts.Timer.Now()
-	ev := FeedRead{Asked: start, Wait: a.Wait}
+	ev := FeedRead{RequestedAt: start, Wait: a.Wait}
 	if a.Full {
-		ev.News, ev.Err = h.opts.Store.Newest(h.ctx, a.Feed)
+		ev.Page, ev.Err = h.opts.Store.Newest(h.ctx, a.Feed)
 	} else {
-		ev.News, ev.Err = h.opts.Store.Read(h.ctx, a.Feed, a.From, a.Wait)
+		ev.Page, ev.Err = h.opts.Store.Read(h.ctx, a.Feed, a.From, a.Wait)
 	}
-	ev.News.Feed = a.Feed
+	ev.Page.Feed = a.Feed
 	h.counters.storeCall("read", start, h.opts.Timer.Now(), ev.Err)
 	h.post(ev)
 }
@@ -208,7 +208,7 @@
 func (h *Host) logEvent(e LogEvent) {
 	ev := h.log.Info()
 	if e.Kind == LogRecordApplied || e.Kind == LogHostChanged {
-		ev = h.log.Belief()
+		ev = h.log.StateChange()
 	}
 	if e.Err != nil {
 		ev = h.log.Warn().Err(e.Err)
--- a/conductor/meet.go
+++ b/conductor/meet.go
@@ -16,24 +16,24 @@
 
 // discover takes the next step of finding other hosts.
 func (n *Node) discover(now time.Time) {
-	if n.introducer.Over() {
+	if n.introducer.Done() {
 		return
 	}
 	switch n.introducer.Next(now) {
-	case introducer.CallFind:
-		n.emit(Find{After: n.introducer.After()})
+	case introducer.CallRead:
+		n.emit(ReadAnnouncements{After: n.introducer.After()})
 	case introducer.CallAnnounce:
 		n.emit(Announce{})
 	case introducer.CallNone:
-		if n.introducer.Over() {
+		if n.introducer.Done() {
 			n.hostsDirty = true // a host that is alone learns so here
 		}
 	}
 }
 
-// handleHostsFound applies a page of announcements.
-func (n *Node) handleHostsFound(now time.Time, ev HostsFound) {
-	n.introducer.Found(now, introducer.Page{Hosts: ev.Hosts, Next: ev.Next}, ev.Err)
+// handleAnnouncementsRead applies a page of announcements.
+func (n *Node) handleAnnouncementsRead(now time.Time, ev AnnouncementsRead) {
+	n.introducer.ReadDone(now, introducer.Page{Hosts: ev.Hosts, Next: ev.Next}, ev.Err)
 	if ev.Err != nil {
 		return
 	}
@@ -57,17 +57,17 @@
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.HostsUnread)
 	}
-	h.post(HostsFound{Hosts: h.decodeRecords(page.Cards), Next: page.Next, Err: err})
+	h.post(AnnouncementsRead{Hosts: h.decodeRecords(page.Records), Next: page.Next, Err: err})
 }
 
 // announce writes this host's announcement.
 func (h *Host) announce() {
-	card, err := codec.Marshal(h.node.opts.Self)
+	record, err := codec.Marshal(h.node.opts.Self)
 	if err != nil {
 		panic("conductor: host record cannot be encoded: " + err.Error())
 	}
 	start := h.opts.Timer.Now()
-	err = h.opts.Store.Announce(h.ctx, announcementName(h.node.opts.Self), card)
+	err = h.opts.Store.Announce(h.ctx, announcementName(h.node.opts.Self), record)
 	h.counters.storeCall("announce", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.HostsUnread)
@@ -77,7 +77,7 @@
 
 // seek reads all announcements, to find hosts that this one's peers don't know.
 func (h *Host) seek() {
-	var ev HostsSought
+	var ev AllAnnouncementsRead
 	for next := ""; ; {
 		start := h.opts.Timer.Now()
 		page, err := h.opts.Store.Announced(h.ctx, next)
@@ -89,9 +89,9 @@
 		if next == "" {
 			ev.End = page.End
 		}
-		ev.Hosts = append(ev.Hosts, h.decodeRecords(page.Cards)...)
+		ev.Hosts = append(ev.Hosts, h.decodeRecords(page.Records)...)
 		if next = page.Next; next == "" {
-			ev.Whole = true
+			ev.Complete = true
 			break
 		}
 	}
@@ -115,9 +115,9 @@
 // decodeRecords returns the records of readable announcements.
 func (h *Host) decodeRecords(cards map[string][]byte) []tracker.HostRecord {
 	var out []tracker.HostRecord
-	for name, card := range cards {
+	for name, record := range cards {
 		var r tracker.HostRecord
-		if err := codec.Unmarshal(card, &r); err != nil {
+		if err := codec.Unmarshal(record, &r); err != nil {
 			h.log.Warn().Err(err).Str("Host", name).Msg(logger.HostRecordUnreadable)
 			continue
 		}
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -27,11 +27,11 @@
 	Decoder Decoder
 	Timing  Timing
 	// FirstStart reports whether the whole fleet starts for the first time.
-	FirstStart bool
-	Renewer    renewer.Options
-	Busy       func(upstream string) int   // Busy returns the work in flight at an upstream.
-	Kept       func() []placer.Placement   // Kept returns what engines may cache, for hosts that start.
-	Stores     func() []placer.StoreReport // Stores returns what is known of KV cache stores.
+	FirstStart   bool
+	Renewer      renewer.Options
+	Busy         func(upstream string) int   // Busy returns the work in flight at an upstream.
+	Placements   func() []placer.Placement   // Placements returns what engines may cache, for hosts that start.
+	StoreReports func() []placer.StoreReport // StoreReports returns what is known of KV cache stores.
 	// Quarantine tracks the requests under which upstreams have ended; it is shared with the
 	// request path.
 	Quarantine *quarantiner.Ledger
@@ -90,10 +90,10 @@
 		opts:  opts,
 		state: follower.New(),
 		hosts: tracker.NewHosts(opts.Self, tracker.HostOptions{
-			Suspect:        opts.Timing.Suspect,
-			SuspectStandby: opts.Timing.SuspectStandby,
-			Forget:         opts.Timing.Forget,
-			FullMesh:       activator.AllServe,
+			SuspectAfter:        opts.Timing.SuspectAfter,
+			SuspectStandbyAfter: opts.Timing.SuspectStandbyAfter,
+			ForgetAfter:         opts.Timing.ForgetAfter,
+			FullMesh:            activator.MaxAllActive,
 		}),
 		feeds: map[follower.Feed]*feed{
 			follower.FeedOperator:  newFeed(),
@@ -110,7 +110,7 @@
 		zoneDeltas:    &placer.Report{},
 		uses:          make(map[string]hostUse),
 		introducer: introducer.New(introducer.Options{
-			Host: opts.Self.Host, Peers: opts.Self.Peers, FirstStart: opts.FirstStart, Again: opts.Timing.RetryDelay,
+			Host: opts.Self.Host, Peers: opts.Self.Peers, FirstStart: opts.FirstStart, InitialBackoff: opts.Timing.RetryDelay,
 			Seed: tracker.Rank(opts.Self.Host, "introducer") + opts.Self.Incarnation,
 		}),
 
@@ -118,8 +118,8 @@
 	}
 }
 
-// Serves reports whether callers are sent to this host.
-func (n *Node) Serves() bool { return n.topology().selfActive }
+// Active reports whether callers are sent to this host.
+func (n *Node) Active() bool { return n.topology().selfActive }
 
 // Handle applies an event and returns the actions to execute.
 func (n *Node) Handle(now time.Time, ev Event) []Action {
@@ -135,15 +135,15 @@
 		n.handleFeedRead(now, ev)
 	case PeerMessage:
 		n.handlePeerMessage(now, ev)
-	case PeerUp:
-		n.hostsDirty = n.hosts.Heard(now, ev.Host) || n.hostsDirty
+	case PeerConnected:
+		n.hostsDirty = n.hosts.RecordContact(now, ev.Host) || n.hostsDirty
 		n.greet(now, ev.Host, ev.Address)
-	case HostsFound:
-		n.handleHostsFound(now, ev)
+	case AnnouncementsRead:
+		n.handleAnnouncementsRead(now, ev)
 	case Announced:
-		n.introducer.Announced(now, ev.Err)
-	case HostsSought:
-		n.handleHostsSought(now, ev)
+		n.introducer.AnnounceDone(now, ev.Err)
+	case AllAnnouncementsRead:
+		n.handleAllAnnouncementsRead(now, ev)
 	case WorkReported:
 		n.reportWork(now, ev)
 	case StoreReported:
@@ -152,14 +152,14 @@
 		n.handleRenewalEnd(now, ev)
 	case StoreGap:
 		n.requestStores(now, ev.From)
-	case NamingsRestored:
-		n.viewDirty = n.state.Recall(now, ev.Namings) || n.viewDirty
-		n.broadcast(&messenger.Message{Namings: ev.Namings})
+	case VersionAgesRestored:
+		n.viewDirty = n.state.MergeVersionAges(now, ev.VersionAges) || n.viewDirty
+		n.broadcast(&messenger.Message{VersionAges: ev.VersionAges})
 	case QuarantineChanged:
 		n.broadcastQuarantine()
 	case QuarantineRestored:
-		n.opts.Quarantine.Hear(now, ev.Words)
-		n.broadcast(&messenger.Message{Ended: ev.Words})
+		n.opts.Quarantine.Merge(now, ev.Entries)
+		n.broadcast(&messenger.Message{Ended: ev.Entries})
 	case DrainStarted:
 		n.markLeaving()
 	}
@@ -187,9 +187,9 @@
 // detectStall detects that the process was stalled. The silence of other hosts in that time does
 // not count.
 func (n *Node) detectStall(now time.Time) {
-	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.opts.Timing.Suspect/2 {
+	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.opts.Timing.SuspectAfter/2 {
 		for _, r := range n.hosts.All() {
-			n.hosts.Heard(now, r.Host)
+			n.hosts.RecordContact(now, r.Host)
 		}
 	}
 	n.lastTick = now
@@ -209,7 +209,7 @@
 		n.topo = nil
 		t := n.topology()
 		n.requestCacheIfActivated(t)
-		n.emit(PublishHosts{Hosts: n.hosts.All(), Unheard: n.hosts.Unheard(), Serving: t.serving})
+		n.emit(PublishHosts{Hosts: n.hosts.All(), Uncontacted: n.hosts.Uncontacted(), Active: t.serving})
 	}
 }
 
@@ -219,7 +219,7 @@
 	if !n.view.Ready() || n.hosts.Self().Ready || !n.topology().selfActive {
 		return
 	}
-	self, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.Ready = true })
+	self, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.Ready = true })
 	if changed {
 		n.recordHostChanges([]tracker.HostRecord{self})
 		n.sendHostsToNeighbours("", []tracker.HostRecord{self})
@@ -243,7 +243,7 @@
 	}
 	for _, h := range t.active {
 		if h != n.opts.Self.Host {
-			n.send(h, &messenger.Message{Wants: []string{wantKept}})
+			n.send(h, &messenger.Message{SnapshotRequests: []string{wantKept}})
 			return
 		}
 	}
--- a/conductor/notes.go
+++ b/conductor/notes.go
@@ -17,7 +17,7 @@
 // was down. Only the host that is first in rank writes it. The zero value is ready to use.
 type savedState struct {
 	restored bool
-	namings  savedNamings
+	namings  savedVersionAges
 	bars     savedBars
 }
 
@@ -35,17 +35,17 @@
 	ctx, cancel := context.WithTimeout(h.ctx, saveTimeout)
 	defer cancel()
 	start := h.opts.Timer.Now()
-	saved, err := h.opts.Store.Notes(ctx)
+	saved, err := h.opts.Store.Saved(ctx)
 	h.counters.storeCall("notes", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.NamingsUnread)
 		return false
 	}
-	if namings := h.decodeNamings(saved); len(namings) > 0 {
-		h.post(NamingsRestored{Namings: namings})
+	if ages := h.decodeVersionAges(saved); len(ages) > 0 {
+		h.post(VersionAgesRestored{VersionAges: ages})
 	}
-	if words := n.bars.restore(h, saved); len(words) > 0 {
-		h.post(QuarantineRestored{Words: words})
+	if entries := n.bars.restore(h, saved); len(entries) > 0 {
+		h.post(QuarantineRestored{Entries: entries})
 	}
 	return true
 }
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(h.ctx, saveTimeout)
 	defer cancel()
 	start := h.opts.Timer.Now()
-	err := h.opts.Store.Note(ctx, key, value)
+	err := h.opts.Store.Save(ctx, key, value)
 	h.counters.storeCall("note", start, h.opts.Timer.Now(), err)
 	return err
 }
--- a/conductor/operators.go
+++ b/conductor/operators.go
@@ -24,14 +24,14 @@
 	Leaving   bool
 	Open      int64
 	Version   uint64 // Version is that of the configuration in force; 0 if there is none.
-	Named     map[string]follower.Named
+	Named     map[string]follower.VersionHistory
 	Evacuated map[string]bool // Evacuated are availability zones whose upstreams get no new requests.
 	Hosts     []tracker.HostRecord
 	Upstreams []follower.Upstream
 	Placement placer.Dump
-	Barred    []quarantiner.Word // Barred are requests that are sent to no upstream any more.
-	Repeated  []quarantiner.Word // Repeated are requests under which several upstreams have ended.
-	Suspects  int                // Suspects counts requests under which upstreams have ended.
+	Barred    []quarantiner.Entry // Barred are requests that are sent to no upstream any more.
+	Repeated  []quarantiner.Entry // Repeated are requests under which several upstreams have ended.
+	Suspects  int                 // Suspects counts requests under which upstreams have ended.
 }
 
 // Dump returns the current state of the host.
@@ -42,12 +42,12 @@
 		Ready:     h.Ready(),
 		Leaving:   h.Leaving(),
 		Open:      h.open.Load(),
-		Named:     view.Named,
+		Named:     view.Versions,
 		Evacuated: view.Evacuated,
 		Hosts:     *h.hosts.Load(),
 		Placement: h.placer.Dump(h.opts.Timer.Now()),
 		Barred:    h.quarantine.Bars(h.opts.Timer.Now()),
-		Repeated:  h.quarantine.Words(h.opts.Timer.Now()),
+		Repeated:  h.quarantine.Entries(h.opts.Timer.Now()),
 		Suspects:  h.quarantine.Len(),
 	}
 	for u := range view.Upstreams.All() {
--- a/conductor/parts.go
+++ b/conductor/parts.go
@@ -20,8 +20,8 @@
 		Seed:             uint64(h.opts.Timer.Now().UnixNano()),
 		WeightsWithin:    s.Platform.WeightsWithin.Std(),
 		Cold:             placer.ColdLimit{Overage: s.Platform.ColdOverage, Slack: s.Platform.ColdSlack},
-		Urgent:           h.requestReport,
-		Eased:            h.signalCapacity,
+		OnUrgent:         h.requestReport,
+		OnRoom:           h.signalCapacity,
 	})
 }
 
@@ -47,19 +47,19 @@
 		Decoder: h.opts.Store,
 		Timing:  h.opts.Timing,
 
-		FirstStart: s.Platform.FirstStart,
-		Busy:       h.placer.Busy,
-		Kept:       h.placer.Kept,
-		Stores:     h.placer.StoreReports,
-		Quarantine: h.quarantine,
+		FirstStart:   s.Platform.FirstStart,
+		Busy:         h.placer.InFlight,
+		Placements:   h.placer.Placements,
+		StoreReports: h.placer.StoreReports,
+		Quarantine:   h.quarantine,
 		Renewer: renewer.Options{
-			Host:   s.Host,
-			Term:   h.opts.Timing.LeaseTerm,
-			Turn:   s.Platform.Lease.Std(),
-			Margin: h.opts.Timing.LeaseMargin,
-			AtOnce: s.Platform.LoadsAtOnce,
-			Share:  s.Platform.LoadsShare,
-			Seed:   self.Incarnation,
+			Host:        s.Host,
+			Term:        h.opts.Timing.LeaseTerm,
+			HandoverGap: s.Platform.Lease.Std(),
+			Margin:      h.opts.Timing.LeaseMargin,
+			AtOnce:      s.Platform.LoadsAtOnce,
+			Share:       s.Platform.LoadsShare,
+			Seed:        self.Incarnation,
 		},
 	})
 }
--- a/conductor/quarantine_test.go
+++ b/conductor/quarantine_test.go
@@ -45,14 +45,14 @@
 			id := quarantiner.Identify(quarantiner.Parts{Target: "/bad"})
 			paused, late := c.nodes[hosts-1], c.nodes[hosts-2]
 			paused.paused = true
-			for i := range quarantiner.Bar {
+			for i := range quarantiner.BarThreshold {
 				s := c.nodes[i%(hosts-2)]
 				s.node.opts.Quarantine.Ended(c.now, id, fmt.Sprint("start-", i), c.now)
 				c.execute(s, s.node.Handle(c.now, QuarantineChanged{}))
 				c.run(100 * time.Millisecond)
 			}
 			c.run(time.Second)
-			if hosts <= activator.AllServe {
+			if hosts <= activator.MaxAllActive {
 				assert.Equal(t, c.countBarred(id), hosts-1)
 			}
 			c.run(3 * time.Second) // in a large fleet the paused host may be a relay
@@ -63,7 +63,7 @@
 			assert.Equal(t, c.countBarred(id), hosts)
 
 			lost := quarantiner.Identify(quarantiner.Parts{Target: "/lost"})
-			c.nodes[0].node.opts.Quarantine.Hear(c.now, []quarantiner.Word{{Identity: lost, Ends: []string{"a", "b", "c"}}})
+			c.nodes[0].node.opts.Quarantine.Merge(c.now, []quarantiner.Entry{{Identity: lost, Ends: []string{"a", "b", "c"}}})
 			c.run(3 * time.Second)
 			assert.Equal(t, c.countBarred(lost), hosts)
 
--- a/conductor/readers.go
+++ b/conductor/readers.go
@@ -18,7 +18,7 @@
 	if !t.selfActive {
 		return n.opts.Timing.TakeoverAge + maxReaderPlace*n.opts.Timing.TakeoverStep + t.standbyJitter()
 	}
-	place := max(0, tracker.Place(t.active, n.opts.Self.Host, readerKey(name)))
+	place := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, readerKey(name)))
 	if place == 0 {
 		return 0
 	}
@@ -52,7 +52,7 @@
 // awaitsPeers reports whether a host that has just started should wait for its peers to send the
 // feeds. This keeps a starting fleet from reading the whole listing once per host.
 func (n *Node) awaitsPeers(now time.Time) bool {
-	if !n.introducer.Read() && !n.introducer.Over() {
+	if !n.introducer.HasRead() && !n.introducer.Done() {
 		return now.Sub(n.firstEvent) < announcementsTimeout
 	}
 	since, t := n.foundAt, n.topology()
@@ -74,7 +74,7 @@
 	if !t.selfActive {
 		return standbyReadDelay + time.Duration(t.standbyPlace)*standbyReadStep
 	}
-	place := max(0, tracker.Place(t.active, n.opts.Self.Host, "reader/start"))
+	place := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "reader/start"))
 	if place < initialReaders {
 		return 0
 	}
@@ -95,7 +95,7 @@
 
 // discoveryTime is how long hosts that start for the first time wait to learn the size of the
 // fleet.
-const discoveryTime = introducer.FirstSpread + 700*time.Millisecond
+const discoveryTime = introducer.FirstReadJitter + 700*time.Millisecond
 
 // announcementsTimeout is how long a host that cannot read the announcements reads no feed. It
 // knows no peer and so ranks itself first for everything.
@@ -131,7 +131,7 @@
 		return delay
 	case !t.selfActive:
 		return standbyRetryFactor*delay + t.standbyJitter()
-	case tracker.Place(t.active, n.opts.Self.Host, readerKey(name)) >= fastRetryHosts:
+	case tracker.RankIndex(t.active, n.opts.Self.Host, readerKey(name)) >= fastRetryHosts:
 		return activeRetryFactor * delay
 	}
 	return delay
--- a/conductor/record.go
+++ b/conductor/record.go
@@ -48,18 +48,18 @@
 		ev.Array("Attempts", attempts(o.Choices))
 	}
 	ev.Bool("Late", o.Late).Int("Events", o.Events).Dur("Waited", o.Waited).
-		Dur("Awaited", o.Awaited).Dur("First", o.First).Dur("Took", o.Took).Msg(logger.RequestEnded)
+		Dur("Awaited", o.PrefillWait).Dur("First", o.First).Dur("Took", o.Took).Msg(logger.RequestEnded)
 }
 
 // logUpstreamEnded logs an upstream that ended while serving a request.
 func (h *Host) logUpstreamEnded(e exchanger.Ended) {
 	h.counters.upstreamEnded()
 	h.log.Failure().Str("RequestID", e.RequestID).Stringer("Identity", e.Identity).
-		Str("Upstream", e.Upstream.Start()).Msg(logger.UpstreamEnded)
+		Str("Upstream", e.Upstream.InstanceID()).Msg(logger.UpstreamEnded)
 }
 
 // logBarred logs a request that is sent to no upstream any more.
-func (h *Host) logBarred(w quarantiner.Word) {
+func (h *Host) logBarred(w quarantiner.Entry) {
 	h.counters.barred()
 	h.log.Warn().Stringer("Identity", w.Identity).Strs("Upstreams", w.Ends).Msg(logger.RequestBarred)
 }
@@ -80,8 +80,8 @@
 func (c *attempt) MarshalZerologObject(e *zerolog.Event) {
 	b := c.Basis
 	e.Str("Upstream", c.Upstream.ID).Dur("Estimate", b.Estimate).Int("Requests", b.Work.Requests).
-		Int("Pending", b.Work.Pending).Int("Memory", b.Work.Memory).Int("Missing", b.Missing).Int("Alone", b.Alone).Int("Moved", b.Moved).
-		Dur("Behind", b.Behind).Dur("Reading", b.Reading).Dur("Fetching", b.Fetching).Bool("Replaced", b.Replaced).
-		Int("Stored", b.Stored).Int("Saved", b.Saved).
-		Uint64("Weights", c.Weights).Hex("Shared", binary.BigEndian.AppendUint64(nil, uint64(b.Shared))).Dur("PeersAge", b.PeersAge)
+		Int("Pending", b.Work.Pending).Int("Memory", b.Work.Memory).Int("Missing", b.PrefillTokens).Int("Alone", b.UnsharedTokens).Int("Moved", b.FetchTokens).
+		Dur("Behind", b.BacklogTime).Dur("Reading", b.PrefillTime).Dur("Fetching", b.FetchTime).Bool("Replaced", b.Replaced).
+		Int("Stored", b.StoredParts).Int("Saved", b.SavedParts).
+		Uint64("Weights", c.Weights).Hex("Shared", binary.BigEndian.AppendUint64(nil, uint64(b.SharedKey))).Dur("PeersAge", b.PeersAge)
 }
--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -16,7 +16,7 @@
 
 // renew runs the renewer's next step.
 func (n *Node) renew(now time.Time) {
-	n.handleCommands(now, n.renewer.Step(now, renewer.Input{View: n.view, Place: n.renewerPlace(),
+	n.handleCommands(now, n.renewer.Step(now, renewer.Input{View: n.view, HostIndex: n.renewerPlace(),
 		Busy: n.opts.Busy}))
 	if phases := n.renewer.Phases(now); !maps.Equal(phases, n.phases) {
 		n.phases = phases
@@ -34,7 +34,7 @@
 	if !t.selfActive {
 		return min(len(t.active), maxStandbyPlaces) + t.standbyPlace%maxStandbyPlaces
 	}
-	return max(0, tracker.Place(t.active, n.opts.Self.Host, "renewer"))
+	return max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "renewer"))
 }
 
 func (n *Node) handleCommands(now time.Time, commands []renewer.Command) {
@@ -62,7 +62,7 @@
 }
 
 func (n *Node) renewed(done renewer.Renewed) {
-	n.viewDirty = n.state.Renewed(done.ID, done.Born, done.Model, done.Version) || n.viewDirty
+	n.viewDirty = n.state.WeightsLoaded(done.ID, done.Born, done.Model, done.Version) || n.viewDirty
 }
 
 func (n *Node) handleRenewalEnd(now time.Time, ev RenewalEnd) {
@@ -72,8 +72,8 @@
 	case renewer.WriteLease:
 		n.renewer.LeaseWritten(now, c, ev.Conflict, ev.Err)
 	case renewer.Order:
-		n.handleCommands(now, n.renewer.Ordered(now, c, ev.Result))
-	case renewer.Ask:
-		n.handleCommands(now, n.renewer.Told(now, c, ev.Busy, ev.Version, ev.Err))
+		n.handleCommands(now, n.renewer.OrderAnswered(now, c, ev.Result))
+	case renewer.QueryVersion:
+		n.handleCommands(now, n.renewer.VersionReported(now, c, ev.Busy, ev.Version, ev.Err))
 	}
 }
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -53,17 +53,17 @@
 		n.search = peerSearch{interval: firstSearchDelay, due: now.Add(firstSearchDelay),
 			absent: make(map[string]absence)}
 	}
-	if now.Before(n.search.due) || tracker.Place(n.topology().serving.Hosts(), n.opts.Self.Host, "seeker") != 0 {
+	if now.Before(n.search.due) || tracker.RankIndex(n.topology().serving.Hosts(), n.opts.Self.Host, "seeker") != 0 {
 		return
 	}
 	n.search.interval = min(2*n.search.interval, maxSearchInterval)
 	n.search.due = now.Add(n.search.interval)
 	n.search.count++
-	n.emit(Seek{})
+	n.emit(ReadAllAnnouncements{})
 }
 
-// handleHostsSought applies the result of a search.
-func (n *Node) handleHostsSought(now time.Time, ev HostsSought) {
+// handleAllAnnouncementsRead applies the result of a search.
+func (n *Node) handleAllAnnouncementsRead(now time.Time, ev AllAnnouncementsRead) {
 	var unknown []tracker.HostRecord
 	announced := false
 	for _, r := range ev.Hosts {
@@ -73,14 +73,14 @@
 			unknown = append(unknown, r)
 		}
 	}
-	if ev.Whole && !announced {
+	if ev.Complete && !announced {
 		n.emit(Announce{})
 	}
-	if ev.Whole {
+	if ev.Complete {
 		n.replenishAnnouncements(ev.Hosts)
 	}
 	n.greetUnknown(now, unknown)
-	if expired := n.expiredAnnouncements(now, unknown); ev.Whole && len(expired) > 0 {
+	if expired := n.expiredAnnouncements(now, unknown); ev.Complete && len(expired) > 0 {
 		n.emit(Retract{Hosts: expired, End: ev.End})
 	}
 }
@@ -93,7 +93,7 @@
 		listed[r.Host] = true
 	}
 	live := n.hosts.Live()
-	missing := min(introducer.Introducers, len(live))
+	missing := min(introducer.MinAnnouncements, len(live))
 	var others []string
 	for _, h := range live {
 		if listed[h] || h == n.opts.Self.Host {
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, h := range others[:max(0, min(missing, len(others)))] {
-		n.send(h, &messenger.Message{Wants: []string{wantAnnounce}})
+		n.send(h, &messenger.Message{SnapshotRequests: []string{wantAnnounce}})
 	}
 }
 
@@ -148,9 +148,9 @@
 // greeting returns what a host may lack that has not heard of this one for long. Its buckets ask in
 // turn for what this host lacks.
 func (n *Node) greeting(now time.Time) *messenger.Message {
-	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), Namings: n.state.Namings(now),
+	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), VersionAges: n.state.VersionAges(now),
 		Offsets: n.feedOffsets(),
-		Ended:   n.opts.Quarantine.Words(now), EndedDigest: n.opts.Quarantine.Digest(),
+		Ended:   n.opts.Quarantine.Entries(now), EndedDigest: n.opts.Quarantine.Digest(),
 		Hosts: []tracker.HostRecord{n.hosts.Self()}}
 	if now.Sub(n.lastBucketsSent) >= bucketsInterval {
 		n.lastBucketsSent = now
--- a/conductor/seek_test.go
+++ b/conductor/seek_test.go
@@ -39,7 +39,7 @@
 		t.Run(fmt.Sprint(tt.connected, " and ", tt.isolated), func(t *testing.T) {
 			c := startIsolated(tt.connected, tt.isolated)
 			bad := quarantiner.Identify(quarantiner.Parts{Target: "bad"})
-			for i := range quarantiner.Bar {
+			for i := range quarantiner.BarThreshold {
 				at := c.now.Add(time.Duration(i) * time.Second)
 				c.nodes[0].node.opts.Quarantine.Ended(at, bad, fmt.Sprint(i), at)
 			}
@@ -66,7 +66,7 @@
 			for _, s := range c.nodes[:hosts/2] {
 				c.partition[s.name] = true
 			}
-			c.run(2 * DefaultTiming().Forget)
+			c.run(2 * DefaultTiming().ForgetAfter)
 			for _, s := range c.nodes {
 				_, known := s.node.hosts.Lookup(c.nodes[hosts/2].name)
 				assert.Equal(t, known, !c.partition[s.name], s.name)
@@ -135,14 +135,14 @@
 // TestIntroducersAreReplenished: when most announcements are gone, hosts announce themselves until
 // there are as many introducers as starting hosts need, and no more.
 func TestIntroducersAreReplenished(t *testing.T) {
-	const live = 2 * introducer.Introducers
+	const live = 2 * introducer.MinAnnouncements
 	c := newCluster(live)
 	c.idle = true
 	for _, s := range c.nodes[:live-5] {
 		delete(c.announcements, s.name)
 	}
 	c.run(2 * firstSearchDelay)
-	assert.Equal(t, len(c.announcements), introducer.Introducers)
+	assert.Equal(t, len(c.announcements), introducer.MinAnnouncements)
 	changes := c.announcementsEnd
 	c.run(maxSearchInterval)
 	assert.Equal(t, c.announcementsEnd, changes)
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -7,16 +7,16 @@
 
 // Timing holds the intervals and timeouts of the control plane.
 type Timing struct {
-	Tick      time.Duration // Tick is the interval of the control loop.
-	Heartbeat time.Duration // Heartbeat is the interval between heartbeats.
-	Report    time.Duration // Report is the interval between load reports.
-	Suspect   time.Duration // Suspect is the silence after which a host is suspected.
+	Tick         time.Duration // Tick is the interval of the control loop.
+	Heartbeat    time.Duration // Heartbeat is the interval between heartbeats.
+	Report       time.Duration // Report is the interval between load reports.
+	SuspectAfter time.Duration // SuspectAfter is the silence after which a host is suspected.
 
-	// HeartbeatStandby and SuspectStandby are the same to and from standby hosts of a large fleet.
-	HeartbeatStandby time.Duration
-	SuspectStandby   time.Duration
+	// HeartbeatStandby and SuspectStandbyAfter are the same to and from standby hosts of a large fleet.
+	HeartbeatStandby    time.Duration
+	SuspectStandbyAfter time.Duration
 
-	Forget time.Duration // Forget is how long hosts that are gone are remembered.
+	ForgetAfter time.Duration // ForgetAfter is how long hosts that are gone are remembered.
 
 	Admit time.Duration // Admit is the interval between checks of waiting requests' deadlines.
 
@@ -25,11 +25,11 @@
 	TakeoverStep time.Duration // TakeoverStep is added to TakeoverAge for each further place.
 	ReadInterval time.Duration // ReadInterval is the least time between two reads, so that records accumulate.
 	// ReadIntervalLarge is ReadInterval in a large fleet, where each page goes to all hosts.
-	ReadIntervalLarge time.Duration
-	RetryDelay        time.Duration // RetryDelay is the delay after a failed call to the store.
-	MaxLag            time.Duration // MaxLag is how long another host may know more before it is asked.
-	AskInterval       time.Duration // AskInterval is the least time between requests to peers for a page.
-	ListingInterval   time.Duration // ListingInterval is the same for a whole listing in a large fleet.
+	ReadIntervalLarge   time.Duration
+	RetryDelay          time.Duration // RetryDelay is the delay after a failed call to the store.
+	MaxLag              time.Duration // MaxLag is how long another host may know more before it is asked.
+	PageRequestInterval time.Duration // PageRequestInterval is the least time between requests to peers for a page.
+	ListingInterval     time.Duration // ListingInterval is the same for a whole listing in a large fleet.
 
 	// LeaseTerm is how long the renewer's lease lasts without renewal. After its holder dies, the
 	// next order follows a term, a turn and a margin later.
@@ -41,15 +41,15 @@
 // that reads the feeds is cut off at that moment.
 func DefaultTiming() Timing {
 	return Timing{
-		Tick:      50 * time.Millisecond,
-		Heartbeat: 200 * time.Millisecond,
-		Report:    100 * time.Millisecond,
-		Suspect:   800 * time.Millisecond,
+		Tick:         50 * time.Millisecond,
+		Heartbeat:    200 * time.Millisecond,
+		Report:       100 * time.Millisecond,
+		SuspectAfter: 800 * time.Millisecond,
 
-		HeartbeatStandby: time.Second,
-		SuspectStandby:   3500 * time.Millisecond,
+		HeartbeatStandby:    time.Second,
+		SuspectStandbyAfter: 3500 * time.Millisecond,
 
-		Forget:       30 * time.Second,
+		ForgetAfter:  30 * time.Second,
 		Admit:        20 * time.Millisecond,
 		LongPoll:     700 * time.Millisecond,
 		TakeoverAge:  time.Second,
@@ -58,11 +58,11 @@
 
 		ReadIntervalLarge: 250 * time.Millisecond,
 
-		RetryDelay:      250 * time.Millisecond,
-		MaxLag:          150 * time.Millisecond,
-		AskInterval:     300 * time.Millisecond,
-		ListingInterval: 1200 * time.Millisecond,
-		LeaseTerm:       time.Second,
-		LeaseMargin:     200 * time.Millisecond,
+		RetryDelay:          250 * time.Millisecond,
+		MaxLag:              150 * time.Millisecond,
+		PageRequestInterval: 300 * time.Millisecond,
+		ListingInterval:     1200 * time.Millisecond,
+		LeaseTerm:           time.Second,
+		LeaseMargin:         200 * time.Millisecond,
 	}
 }
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -55,7 +55,7 @@
 		})
 		return
 	case epoch == 0:
-		n.applyEffects(now, c, c.owner.Hold(0))
+		n.applyEffects(now, c, c.owner.SetEpoch(0))
 		delete(n.streams, name)
 		n.ranges[i] = nil
 		n.emit(Unfollow{Stream: name})
@@ -65,7 +65,7 @@
 	if !s.fold.Ready() {
 		return
 	}
-	n.applyEffects(now, c, c.owner.Hold(epoch))
+	n.applyEffects(now, c, c.owner.SetEpoch(epoch))
 	n.applyEffects(now, c, c.owner.Tick(now, s.fold.LastTime()))
 }
 
@@ -77,7 +77,7 @@
 	byHost := make(map[string][]claimer.Reply)
 	for _, p := range fx.Send {
 		if p.To == n.opts.Self.Host {
-			n.applySteps(now, n.claimant.Answer(now, p.Reply))
+			n.applySteps(now, n.claimant.HandleReply(now, p.Reply))
 			continue
 		}
 		byHost[p.To] = append(byHost[p.To], p.Reply)
@@ -88,7 +88,7 @@
 }
 
 // applySteps settles claims and sends messages as the claimant returned.
-func (n *Node) applySteps(now time.Time, s claimer.Steps) {
+func (n *Node) applySteps(now time.Time, s claimer.ClaimantEffects) {
 	for _, settled := range s.Settled {
 		n.emit(Settle{Settled: settled})
 	}
@@ -114,9 +114,9 @@
 	}
 	c := n.ranges[m.Range]
 	if m.Request != nil && m.Request.Key.Range() == m.Range {
-		n.applyEffects(now, c, c.owner.Request(now, from, *m.Request))
+		n.applyEffects(now, c, c.owner.HandleRequest(now, from, *m.Request))
 	}
 	if m.Outcome != nil && m.Outcome.Key.Range() == m.Range {
-		n.applyEffects(now, c, c.owner.Outcome(from, *m.Outcome))
+		n.applyEffects(now, c, c.owner.HandleOutcome(from, *m.Outcome))
 	}
 }
--- a/controller/event.go
+++ b/controller/event.go
@@ -103,7 +103,7 @@
 type CacheRead struct {
 	Upstream string
 	Events   *wire.CacheEvents
-	Segments *wire.KeptSegments
+	Segments *wire.StoredSegments
 }
 
 // OrderDone is the result of a SendOrder; Answer is nil if that failed.
@@ -175,7 +175,7 @@
 
 // Settle returns the verdict of a claim to its caller.
 type Settle struct {
-	Settled claimer.Settled
+	Settled claimer.Settlement
 }
 
 // Published returns the result of a change to its publisher.
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -56,7 +56,7 @@
 }
 
 func (n *Node) peerUp(now time.Time, host string) {
-	n.hosts.Heard(now, host)
+	n.hosts.RecordContact(now, host)
 	n.sendFullSync(now, host)
 }
 
@@ -73,7 +73,7 @@
 }
 
 func (n *Node) peerMessage(now time.Time, ev PeerMessage) {
-	n.hosts.Heard(now, ev.From)
+	n.hosts.RecordContact(now, ev.From)
 	n.notifySuspect(now, ev.From)
 	m := ev.Message
 	if m.Digest != 0 && !m.Full && !slices.Contains(n.hosts.Neighbours(), ev.From) {
@@ -87,9 +87,9 @@
 		n.claimMessage(now, ev.From, c)
 	}
 	for _, r := range m.Replies {
-		n.applySteps(now, n.claimant.Answer(now, r))
+		n.applySteps(now, n.claimant.HandleReply(now, r))
 	}
-	n.sendSnapshots(ev.From, m.Wants)
+	n.sendSnapshots(ev.From, m.SnapshotRequests)
 	for _, r := range m.Records {
 		n.applyRelayedRecord(now, r)
 	}
@@ -105,14 +105,14 @@
 	for _, t := range m.Turns {
 		n.turnEnded(now, ev.From, t)
 	}
-	if m.KeptAsk != nil {
-		n.cacheQueried(now, ev.From, *m.KeptAsk)
+	if m.CacheQuery != nil {
+		n.cacheQueried(now, ev.From, *m.CacheQuery)
 	}
-	if m.KeptTell != nil {
-		n.cacheReplied(now, *m.KeptTell)
+	if m.CacheReply != nil {
+		n.cacheReplied(now, *m.CacheReply)
 	}
-	if m.Sends != nil {
-		n.inFlightReceived(now, ev.From, m.Sends)
+	if m.InFlight != nil {
+		n.inFlightReceived(now, ev.From, m.InFlight)
 	}
 	if len(m.Placed) > 0 {
 		n.emit(PlacementsLearned{Placements: m.Placed})
@@ -330,7 +330,7 @@
 		return
 	}
 	n.lastSnapshotRequest = now
-	n.sendNeighbours("", &messenger.Message{Wants: wants})
+	n.sendNeighbours("", &messenger.Message{SnapshotRequests: wants})
 }
 
 // configurationBehind reports whether the stream is that of the configuration and
@@ -372,10 +372,10 @@
 	if s == nil || isClaims(r.Stream) || r.Record.Offset != s.fold.Next() || !s.fold.Ready() {
 		return
 	}
-	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.Raw{r.Record}})
+	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.RawRecord{r.Record}})
 	// The record may be this host's own. The next read of the log starts after it, so
 	// the queue must see it here, or it would wait for it forever.
-	s.queue.Read(time.Time{}, false, applied)
+	s.queue.StreamRead(time.Time{}, false, applied)
 }
 
 // adoptSnapshot adopts a peer's snapshot of a stream that cannot be read.
--- a/controller/node.go
+++ b/controller/node.go
@@ -87,7 +87,7 @@
 	lastFullSync        map[string]time.Time
 	lastSuspectNotice   map[string]time.Time      // by suspected host
 	peerInFlight        map[string]inFlightCounts // by host
-	sentInFlight        []messenger.SendCount     // counts last sent to the other hosts
+	sentInFlight        []messenger.InFlightCount // counts last sent to the other hosts
 	lastInFlightSent    time.Time
 	leaving             bool
 	readyAt             time.Time            // when the node was first ready
@@ -120,7 +120,7 @@
 		outrankedSince:    make(map[string]time.Time),
 	}
 	opts.Self.State = tracker.HostLive
-	n.hosts = tracker.NewHosts(opts.Self, tracker.HostOptions{Suspect: opts.SuspectAfter})
+	n.hosts = tracker.NewHosts(opts.Self, tracker.HostOptions{SuspectAfter: opts.SuspectAfter})
 	n.holder = leaser.NewHolder(n.writer, n.leases, leaser.Options{
 		Duration: opts.Lease,
 		Margin:   opts.LeaseMargin,
@@ -246,7 +246,7 @@
 	s.failing = false
 	wasReady := s.fold.Ready()
 	applied := n.applyPage(now, s, ev.Stream, ev.Page)
-	s.queue.Read(ev.Began, s.fold.Next() >= ev.Page.Next, applied)
+	s.queue.StreamRead(ev.Began, s.fold.Next() >= ev.Page.Next, applied)
 	if !wasReady && s.fold.Ready() {
 		n.viewDirty = true
 	}
@@ -272,7 +272,7 @@
 // maxRelayedRecords bounds the number of records in a message.
 const maxRelayedRecords = 16
 
-func (n *Node) relayRecords(stream string, records []folder.Raw, from uint64) {
+func (n *Node) relayRecords(stream string, records []folder.RawRecord, from uint64) {
 	m := &messenger.Message{}
 	for _, r := range records {
 		if r.Offset >= from && len(m.Records) < maxRelayedRecords {
@@ -291,7 +291,7 @@
 
 func (n *Node) appendDone(now time.Time, ev AppendDone) {
 	if s := n.streams[ev.Stream]; s != nil {
-		s.queue.Done(now, ev.Sequence, ev.Err)
+		s.queue.AppendAnswered(now, ev.Sequence, ev.Err)
 	}
 }
 
@@ -328,7 +328,7 @@
 	}
 	n.leaving = true
 	n.streams[leaser.StreamName].queue.Add(n.holder.Release()...)
-	if r, changed := n.hosts.Say(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving }); changed {
+	if r, changed := n.hosts.UpdateSelf(func(r *tracker.HostRecord) { r.State = tracker.HostLeaving }); changed {
 		n.sendHosts("", []tracker.HostRecord{r})
 	}
 	n.viewDirty = true
--- a/exchanger/dispatch.go
+++ b/exchanger/dispatch.go
@@ -21,7 +21,7 @@
 // connections, so that it is not sent to every upstream of a failed service.
 const maxAttempts = 4
 
-// delivery makes the attempts of one exchange. It implements dispatcher.Way for
+// delivery makes the attempts of one exchange. It implements dispatcher.Attempter for
 // requests whose answers are forwarded unchanged.
 type delivery struct {
 	*exchange
@@ -46,13 +46,13 @@
 	}
 }
 
-// Withdraw implements dispatcher.Way.
+// Withdraw implements dispatcher.Attempter.
 func (d *delivery) Withdraw() bool { return d.opts.Budget.Withdraw(d.service) }
 
-// Continues implements dispatcher.Way.
+// Continues implements dispatcher.Attempter.
 func (d *delivery) Continues() bool { return d.stream == nil || d.route.Resumable }
 
-// Choose implements dispatcher.Way. It waits until an upstream has room for the request.
+// Choose implements dispatcher.Attempter. It waits until an upstream has room for the request.
 func (d *delivery) Choose(ctx context.Context) (placer.Choice, bool) {
 	ask := d.ask()
 	if !d.allowed(ask) {
@@ -66,7 +66,7 @@
 	defer func() { d.outcome.Waited += d.opts.Timer.Now().Sub(start) }()
 	for range maxPrefillWaits {
 		choice, verdict := d.awaitUpstream(ctx, ask)
-		if verdict != placer.Awaits {
+		if verdict != placer.AwaitPrefill {
 			return choice, verdict == placer.Chosen
 		}
 		d.awaitPrefill(ctx, ask.Wait)
@@ -87,27 +87,27 @@
 func (d *delivery) awaitPrefill(ctx context.Context, w placer.Wait) {
 	start := d.opts.Timer.Now()
 	w.For(ctx)
-	d.outcome.Awaited += d.opts.Timer.Now().Sub(start)
+	d.outcome.PrefillWait += d.opts.Timer.Now().Sub(start)
 }
 
 // ask returns the placement request.
-func (d *delivery) ask() *placer.Ask {
-	ask := &placer.Ask{Service: d.service, Prompt: d.request.Prompt, Exclude: d.tried, Objective: d.route.Objective}
+func (d *delivery) ask() *placer.PlacementRequest {
+	ask := &placer.PlacementRequest{Service: d.service, Prompt: d.request.Prompt, Exclude: d.tried, Objective: d.route.Objective}
 	if ask.Prompt != nil {
 		ask.SaltOf = d.salt
 	}
 	if ask.Objective > 0 {
 		ask.Due = d.request.Start.Add(ask.Objective)
 	}
-	ask.Homes = append(ask.Homes, d.route.Regions)
+	ask.Regions = append(ask.Regions, d.route.Regions)
 	if d.workspace != nil {
-		ask.Homes = append(ask.Homes, d.workspace.Regions)
+		ask.Regions = append(ask.Regions, d.workspace.Regions)
 	}
 	return ask
 }
 
 // awaitUpstream waits in the queue until placement returns another verdict than Busy.
-func (d *delivery) awaitUpstream(ctx context.Context, ask *placer.Ask) (placer.Choice, placer.Verdict) {
+func (d *delivery) awaitUpstream(ctx context.Context, ask *placer.PlacementRequest) (placer.Choice, placer.Verdict) {
 	var choice placer.Choice
 	verdict := placer.Busy
 	item := d.queueItem(ask)
@@ -128,7 +128,7 @@
 	return choice, verdict
 }
 
-// Try implements dispatcher.Way.
+// Try implements dispatcher.Attempter.
 func (d *delivery) Try(ctx context.Context, choice placer.Choice) dispatcher.Result {
 	d.tried = append(d.tried, choice.Upstream.ID)
 	d.outcome.Attempts++
@@ -137,15 +137,15 @@
 	if d.opts.Chosen != nil {
 		d.opts.Chosen(d.request, d.view, &choice)
 	}
-	directions := &Directions{
-		Upstream:  choice.Upstream,
-		Remaining: d.deadline.Sub(d.opts.Timer.Now()),
-		Once:      !d.route.Repeatable(),
-		Rank:      d.rank(),
-		Fetch:     choice.Fetch,
-		Until:     choice.Until,
-		Save:      choice.Save,
-		LastEvent: d.request.LastEvent,
+	directions := &SendOptions{
+		Upstream:      choice.Upstream,
+		Remaining:     d.deadline.Sub(d.opts.Timer.Now()),
+		Once:          !d.route.Repeatable(),
+		Rank:          d.rank(),
+		Fetch:         choice.Fetch,
+		FetchDeadline: choice.FetchDeadline,
+		Save:          choice.Save,
+		LastEvent:     d.request.LastEvent,
 	}
 	if s, ok := d.view.Table.Service(choice.Upstream.Service); ok && s.MaxConnections > 0 {
 		directions.Connections = max(1, int(connectionShare*float64(s.MaxConnections)))
@@ -171,7 +171,7 @@
 
 // attempt makes one attempt. It is canceled when its upstream stalls if another attempt
 // is allowed; otherwise the stalled upstream may still answer.
-func (d *delivery) attempt(ctx context.Context, choice placer.Choice, directions *Directions) dispatcher.Result {
+func (d *delivery) attempt(ctx context.Context, choice placer.Choice, directions *SendOptions) dispatcher.Result {
 	if !d.route.Repeatable() || d.outcome.Attempts >= d.route.MaxAttempts {
 		return d.send(ctx, choice, directions)
 	}
@@ -186,7 +186,7 @@
 }
 
 // send sends one attempt and forwards its answer.
-func (d *delivery) send(ctx context.Context, choice placer.Choice, directions *Directions) dispatcher.Result {
+func (d *delivery) send(ctx context.Context, choice placer.Choice, directions *SendOptions) dispatcher.Result {
 	answer, fail := d.opts.Sender.Send(ctx, d.request, directions)
 	if fail != nil {
 		return dispatcher.Failed(fail)
@@ -207,17 +207,17 @@
 	case r.Failure == nil:
 		return placer.ResultFailed
 	case r.Failure.Cause == forwarder.CauseConnect:
-		return placer.ResultUnreached
+		return placer.ResultUnreachable
 	case r.Verdict == dispatcher.NotRun:
 		return placer.ResultRefused
 	case ctx.Err() == context.Canceled:
-		return placer.ResultCaller
+		return placer.ResultCallerGone
 	}
 	return placer.ResultFailed
 }
 
 // conclude writes the final answer if no attempt did.
-func (d *delivery) conclude(ctx context.Context, tries *dispatcher.Tries) {
+func (d *delivery) conclude(ctx context.Context, tries *dispatcher.Summary) {
 	ending := tries.Ending(ctx)
 	switch {
 	case d.stream != nil:
@@ -268,7 +268,7 @@
 }
 
 // notRunRefusal returns the refusal of a request of which no attempt ran.
-func notRunRefusal(ending dispatcher.Ending, tries *dispatcher.Tries) Refusal {
+func notRunRefusal(ending dispatcher.Ending, tries *dispatcher.Summary) Refusal {
 	r := Refusal{Status: http.StatusServiceUnavailable, Reason: notRunReasons[ending], RetryAfter: retryAfterFull}
 	if ending == dispatcher.Refused {
 		r.RetryAfter = max(r.RetryAfter, min(tries.Last.Failure.RetryAfter, maxRetryAfter))
--- a/exchanger/ended.go
+++ b/exchanger/ended.go
@@ -50,17 +50,17 @@
 // request, and returns the result for placement.
 func (d *delivery) recordResult(ctx context.Context, u follower.Upstream, sent time.Time, r dispatcher.Result) placer.Result {
 	if d.upstreamEnded(ctx, u, r) {
-		d.opts.Quarantine.Ended(d.opts.Timer.Now(), d.outcome.Identity, u.Start(), sent)
+		d.opts.Quarantine.Ended(d.opts.Timer.Now(), d.outcome.Identity, u.InstanceID(), sent)
 		if d.opts.Ended != nil {
 			d.opts.Ended(Ended{RequestID: d.request.ID, Identity: d.outcome.Identity, Upstream: u})
 		}
-		return placer.ResultUnreached
+		return placer.ResultUnreachable
 	}
 	switch {
 	case r.Failure != nil && r.Failure.NoListener:
-		d.opts.Quarantine.Gone(d.opts.Timer.Now(), u.Start())
+		d.opts.Quarantine.InstanceEnded(d.opts.Timer.Now(), u.InstanceID())
 	case d.abandoned(ctx, r):
-		d.opts.Quarantine.Left(d.opts.Timer.Now(), d.outcome.Identity, u.Start())
+		d.opts.Quarantine.Abandoned(d.opts.Timer.Now(), d.outcome.Identity, u.InstanceID())
 		d.watcher.watch(u)
 	case d.succeeded(r):
 		d.opts.Quarantine.Served(d.opts.Timer.Now(), d.outcome.Identity)
@@ -87,14 +87,14 @@
 // allowed reports whether the request may be sent to an upstream. For a suspect request
 // it asks for placement apart from others, so that a request which terminates its
 // upstreams does not take down one after another as callers retry it.
-func (d *delivery) allowed(ask *placer.Ask) bool {
+func (d *delivery) allowed(ask *placer.PlacementRequest) bool {
 	id := d.outcome.Identity
 	switch v := d.opts.Quarantine.Standing(d.opts.Timer.Now(), id); v.Standing {
 	case quarantiner.Barred:
 		d.placementReason = ReasonBarred
 		return false
 	case quarantiner.Suspect:
-		ask.Apart = placer.Apart{Key: id.Key(), Ends: v.Ends}
+		ask.Isolation = placer.Isolation{Key: id.Key(), EndedInstances: v.Ends}
 		ask.Due = time.Time{} // suspect requests do not wait for the prefill of another
 	}
 	return true
--- a/exchanger/ended_test.go
+++ b/exchanger/ended_test.go
@@ -37,8 +37,8 @@
 			p.Update(view)
 			ledger := quarantiner.New(quarantiner.Options{})
 			x := New(Options{
-				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(), Quarantine: ledger,
-				Budget:  retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100}),
+				Views: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(), Quarantine: ledger,
+				Budget:  retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return true },
 			})
 			o := x.Handle(t.Context(), &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
@@ -73,8 +73,8 @@
 			p.Update(view)
 			var ended []Ended
 			x := New(Options{
-				Beliefs: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(),
-				Budget:  retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100}),
+				Views: &views, Placer: p, Sender: &scriptedSender{script: c.script}, Timer: timer.NewSystem(),
+				Budget:  retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100}),
 				Refuses: func(string) bool { return c.refuses },
 				Ended:   func(e Ended) { ended = append(ended, e) },
 			})
--- a/exchanger/exchanger.go
+++ b/exchanger/exchanger.go
@@ -35,11 +35,11 @@
 
 // Options configure an Exchanger.
 type Options struct {
-	Beliefs ViewSource
-	Placer  *placer.Placer
-	Sender  Sender
-	Budget  *retrier.Shared
-	Timer   timer.Service
+	Views  ViewSource
+	Placer *placer.Placer
+	Sender Sender
+	Budget *retrier.SharedBudgets
+	Timer  timer.Service
 	// Chosen is called before each attempt, with the view that the choice is based on;
 	// optional.
 	Chosen func(r *Request, v *follower.View, c *placer.Choice)
@@ -47,9 +47,9 @@
 	Quarantine Quarantine
 	// Refuses probes whether no process listens at an address; nil means false.
 	Refuses func(address string) bool
-	// Gone is like Refuses, but takes an open connection as proof of a running process;
+	// Terminated is like Refuses, but takes an open connection as proof of a running process;
 	// nil means false.
-	Gone func(address string) bool
+	Terminated func(address string) bool
 	// Ended is called for each request whose upstream terminated while it was in progress;
 	// optional.
 	Ended func(e Ended)
@@ -59,9 +59,9 @@
 // requests are suspect or barred.
 type Quarantine interface {
 	Standing(now time.Time, id quarantiner.Identity) quarantiner.Verdict
-	Ended(now time.Time, id quarantiner.Identity, start string, sent time.Time)
-	Left(now time.Time, id quarantiner.Identity, start string)
-	Gone(now time.Time, start string)
+	Ended(now time.Time, id quarantiner.Identity, instance string, sent time.Time)
+	Abandoned(now time.Time, id quarantiner.Identity, instance string)
+	InstanceEnded(now time.Time, instance string)
 	Served(now time.Time, id quarantiner.Identity)
 }
 
@@ -100,7 +100,7 @@
 // Handle processes a request up to its final answer. ctx must be canceled when the
 // caller leaves.
 func (x *Exchanger) Handle(ctx context.Context, r *Request, w Responder) Outcome {
-	e := &exchange{Exchanger: x, request: r, responder: w, view: x.opts.Beliefs.Load()}
+	e := &exchange{Exchanger: x, request: r, responder: w, view: x.opts.Views.Load()}
 	o := x.handle(ctx, e)
 	o.Took = x.opts.Timer.Now().Sub(r.Start)
 	o.Late = e.route != nil && e.route.Objective > 0 && o.First > e.route.Objective
@@ -119,7 +119,7 @@
 
 // awaitReady waits until this host has a ready view or the wait limit has passed.
 func (e *exchange) awaitReady(ctx context.Context) {
-	limit := min(maxReadyWait, time.Duration(readyWaitShare*float64(e.request.Patience)))
+	limit := min(maxReadyWait, time.Duration(readyWaitShare*float64(e.request.Timeout)))
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	tick := time.NewTicker(readyPollInterval)
@@ -127,7 +127,7 @@
 	for !e.view.Ready() {
 		select {
 		case <-tick.C:
-			e.view = e.opts.Beliefs.Load()
+			e.view = e.opts.Views.Load()
 		case <-ctx.Done():
 			return
 		}
@@ -163,7 +163,7 @@
 // authenticate sets the workspace of the caller's key, except on public routes.
 func authenticate(next handler) handler {
 	return func(ctx context.Context, e *exchange) Outcome {
-		if e.view.Table.Keyed() && !e.route.Public {
+		if e.view.Table.RequiresKeys() && !e.route.Public {
 			var ok bool
 			if e.workspace, ok = e.view.Table.Workspace(e.request.Key); !ok {
 				return e.refuse(Refusal{Status: http.StatusUnauthorized, Reason: ReasonNoKey})
@@ -194,8 +194,8 @@
 	if e.route.Timeout > 0 {
 		timeout = min(timeout, e.route.Timeout)
 	}
-	if e.request.Patience > 0 {
-		timeout = min(timeout, e.request.Patience)
+	if e.request.Timeout > 0 {
+		timeout = min(timeout, e.request.Timeout)
 	}
 	return timeout
 }
--- a/exchanger/exchanger_test.go
+++ b/exchanger/exchanger_test.go
@@ -45,7 +45,7 @@
 
 var errCut = errors.New("cut")
 
-func (s *scriptedSender) Send(ctx context.Context, _ *Request, d *Directions) (Answer, *forwarder.Failure) {
+func (s *scriptedSender) Send(ctx context.Context, _ *Request, d *SendOptions) (Answer, *forwarder.Failure) {
 	do := s.script[s.sent]
 	s.sent++
 	verb, arg, _ := strings.Cut(do, " ")
@@ -71,7 +71,7 @@
 		return nil, &forwarder.Failure{Cause: forwarder.CauseLost, Ran: forwarder.RanUnknown}
 	case "hang":
 		<-ctx.Done()
-		return nil, &forwarder.Failure{Cause: forwarder.CauseCaller, Ran: forwarder.RanUnknown}
+		return nil, &forwarder.Failure{Cause: forwarder.CauseCallerGone, Ran: forwarder.RanUnknown}
 	}
 	panic("unknown attempt " + do)
 }
@@ -180,11 +180,11 @@
 		allowance = retrier.Allowance{}
 	}
 	sender := &scriptedSender{script: c.Upstreams}
-	budget := retrier.NewShared(allowance)
+	budget := retrier.NewSharedBudgets(allowance)
 	for range 20 {
 		budget.Request("s")
 	}
-	x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
+	x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
 	caller := &recorder{}
 	key := c.Key
 	if key == "" {
@@ -207,7 +207,7 @@
 		assert.Assert(t, caller.retry > 0, "a refusal of a request that has not run must have a Retry-After")
 	}
 	for i := range 3 {
-		assert.Equal(t, p.Busy(fmt.Sprint("u", i)), 0, "an ended request is still counted")
+		assert.Equal(t, p.InFlight(fmt.Sprint("u", i)), 0, "an ended request is still counted")
 	}
 }
 
@@ -235,7 +235,7 @@
 			p := placer.New(placer.Options{})
 			p.Update(view)
 			sender := &leavingSender{}
-			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
+			x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 			ctx, cancel := context.WithCancel(context.Background())
 			sender.leave = cancel
 			x.Handle(ctx, &Request{ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
@@ -264,7 +264,7 @@
 			if c.leave {
 				sender.cancel = cancel
 			}
-			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
+			x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 			caller := &recorder{}
 			o := x.Handle(ctx, &Request{ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key"}, caller)
 			assert.Equal(t, o.Reason, c.want)
@@ -277,7 +277,7 @@
 // stallingSender sends two events and then nothing until the attempt is canceled.
 type stallingSender struct{ cancel func() }
 
-func (s stallingSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
+func (s stallingSender) Send(ctx context.Context, _ *Request, _ *SendOptions) (Answer, *forwarder.Failure) {
 	s.cancel()
 	return &fakeAnswer{status: 200, body: events(0, 2), end: errCut, until: ctx.Done()}, nil
 }
@@ -288,7 +288,7 @@
 	canceled bool
 }
 
-func (s *leavingSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
+func (s *leavingSender) Send(ctx context.Context, _ *Request, _ *SendOptions) (Answer, *forwarder.Failure) {
 	s.leave()
 	s.canceled = ctx.Err() != nil
 	return &fakeAnswer{status: 200, body: "x", end: io.EOF}, nil
--- a/exchanger/request.go
+++ b/exchanger/request.go
@@ -25,7 +25,7 @@
 	Header    http.Header // Header has the fields to be forwarded unchanged.
 	Body      []byte
 	Key       string         // Key authenticates the workspace; empty if none was sent.
-	Patience  time.Duration  // Patience is the caller's timeout; 0 if unknown.
+	Timeout   time.Duration  // Timeout is the caller's timeout; 0 if unknown.
 	Prompt    *placer.Prompt // Prompt is nil for plain services.
 	LastEvent string         // LastEvent is the ID of the event after which to resume a stream.
 }
@@ -53,21 +53,21 @@
 
 // Outcome is the result of a request.
 type Outcome struct {
-	Status   int
-	Reason   Reason
-	Detail   string
-	Identity quarantiner.Identity // Identity is zero if the workspace is not known.
-	Route    string
-	Service  string
-	Upstream string
-	Attempts int
-	Events   int
-	Choices  []placer.Choice // Choices are the upstreams that were tried, in order.
-	Late     bool            // Late reports whether First exceeds the route's objective.
-	Waited   time.Duration   // Waited is the time spent waiting for an upstream.
-	Awaited  time.Duration   // Awaited is the part of Waited spent waiting for the prefill of a shared prefix.
-	First    time.Duration   // First is the time to the first byte of the answer's body.
-	Took     time.Duration
+	Status      int
+	Reason      Reason
+	Detail      string
+	Identity    quarantiner.Identity // Identity is zero if the workspace is not known.
+	Route       string
+	Service     string
+	Upstream    string
+	Attempts    int
+	Events      int
+	Choices     []placer.Choice // Choices are the upstreams that were tried, in order.
+	Late        bool            // Late reports whether First exceeds the route's objective.
+	Waited      time.Duration   // Waited is the time spent waiting for an upstream.
+	PrefillWait time.Duration   // PrefillWait is the part of Waited spent waiting for the prefill of a shared prefix.
+	First       time.Duration   // First is the time to the first byte of the answer's body.
+	Took        time.Duration
 }
 
 // Refusal is an answer that does not come from an upstream.
@@ -108,8 +108,8 @@
 // free for a starting host.
 const connectionShare = 0.8
 
-// Directions are the parameters for sending one attempt.
-type Directions struct {
+// SendOptions are the parameters for sending one attempt.
+type SendOptions struct {
 	Upstream follower.Upstream
 	// Connections limits the connections of all hosts together to the upstream; 0 for no limit.
 	Connections int
@@ -120,14 +120,14 @@
 	Weights     uint64 // Weights is the version of the model weights required; 0 for any.
 	Salt        string // Salt is the cache salt of the prompt.
 	Fetch       []string
-	// Until is the deadline of fetches from stores, in milliseconds of the upstreams' clock;
+	// FetchDeadline is the deadline of fetches from stores, in milliseconds of the upstreams' clock;
 	// 0 if there are none.
-	Until     int64
-	Save      []string
-	LastEvent string
+	FetchDeadline int64
+	Save          []string
+	LastEvent     string
 }
 
 // Sender sends attempts to upstreams.
 type Sender interface {
-	Send(ctx context.Context, r *Request, d *Directions) (Answer, *forwarder.Failure)
+	Send(ctx context.Context, r *Request, d *SendOptions) (Answer, *forwarder.Failure)
 }
--- a/exchanger/waiting.go
+++ b/exchanger/waiting.go
@@ -17,7 +17,7 @@
 const rankFactor = 4
 
 // queueItem returns the queue item of the request.
-func (e *exchange) queueItem(ask *placer.Ask) *scheduler.Item {
+func (e *exchange) queueItem(ask *placer.PlacementRequest) *scheduler.Item {
 	it := &scheduler.Item{
 		Class:           strconv.Itoa(e.rank()) + "/" + e.route.Name, // a workspace's rank overrides the route's
 		ClassWeight:     math.Pow(rankFactor, -float64(e.rank())),
@@ -33,7 +33,7 @@
 		return it
 	}
 	it.Cost = float64(ask.Prompt.Tokens() + ask.Prompt.Output)
-	least := placer.LeastTime(ask.Prompt)
+	least := placer.MinFirstTokenTime(ask.Prompt)
 	it.Latest = e.deadline.Add(-least)
 	if e.route.Objective > 0 {
 		it.Due = e.request.Start.Add(e.route.Objective - least)
--- a/exchanger/waiting_bench_test.go
+++ b/exchanger/waiting_bench_test.go
@@ -23,7 +23,7 @@
 		Table: matcher.New(matcher.Parts{Services: []matcher.Service{
 			{Name: "s", Engine: &matcher.Engine{Slots: 64, CapacityTokens: 70000, BytesPerToken: 18432, LinkMbps: 740000}},
 		}}),
-		Named: map[string]follower.Named{"m": {Version: 1}},
+		Versions: map[string]follower.VersionHistory{"m": {Version: 1}},
 	}
 	var upstreams []follower.Upstream
 	for i := range 90 {
@@ -40,7 +40,7 @@
 	var queue scheduler.Queue
 	n := 0
 	enqueue := func() {
-		ask := &placer.Ask{Service: "s", SaltOf: salt, Prompt: &placer.Prompt{Model: "m", Output: 80, Parts: []placer.Part{
+		ask := &placer.PlacementRequest{Service: "s", SaltOf: salt, Prompt: &placer.Prompt{Model: "m", Output: 80, Parts: []placer.Part{
 			{ID: fmt.Sprint("a", n%3), Tokens: 500}, {ID: fmt.Sprint("b", n%238), Tokens: 8600}, {ID: fmt.Sprint(n), Tokens: 2900},
 		}}}
 		n++
--- a/exchanger/waiting_test.go
+++ b/exchanger/waiting_test.go
@@ -34,7 +34,7 @@
 			Workspaces: []matcher.Workspace{{Name: "w", Keys: []string{"key"}}},
 		}),
 		Upstreams: follower.ListOf(follower.Upstream{ID: "e", Service: "s", Standing: follower.StandingReady, Slots: 8}),
-		Named:     map[string]follower.Named{"m": {Version: 1}},
+		Versions:  map[string]follower.VersionHistory{"m": {Version: 1}},
 	}
 }
 
@@ -44,7 +44,7 @@
 	release chan struct{}
 }
 
-func (s *blockingSender) Send(context.Context, *Request, *Directions) (Answer, *forwarder.Failure) {
+func (s *blockingSender) Send(context.Context, *Request, *SendOptions) (Answer, *forwarder.Failure) {
 	s.sent.Add(1)
 	<-s.release
 	return &fakeAnswer{status: 200, body: events(0, 1), end: io.EOF}, nil
@@ -68,11 +68,11 @@
 	views.Store(view)
 	h.placer = placer.New(placer.Options{})
 	h.placer.Update(view)
-	h.Exchanger = New(Options{Beliefs: &views, Placer: h.placer, Sender: h.sender, Budget: retrier.NewShared(retrier.Allowance{}), Timer: timer.NewSystem()})
+	h.Exchanger = New(Options{Views: &views, Placer: h.placer, Sender: h.sender, Budget: retrier.NewSharedBudgets(retrier.Allowance{}), Timer: timer.NewSystem()})
 	h.ctx, h.leave = context.WithCancel(t.Context())
 	request := func(patience time.Duration) *Request {
 		return &Request{
-			ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key", Patience: patience,
+			ID: "1", Start: time.Now(), Host: "h", Path: "/r/x", Key: "key", Timeout: patience,
 			Prompt: &placer.Prompt{Model: "m", Parts: []placer.Part{{ID: "a", Tokens: 400}, {ID: "b", Tokens: 200}}},
 		}
 	}
@@ -94,7 +94,7 @@
 	h.Wake(time.Now())
 	assert.Equal(t, int(h.sender.sent.Load()), 1)
 	h.sender.release <- struct{}{}
-	for h.placer.Busy("e") > 0 {
+	for h.placer.InFlight("e") > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.Wake(time.Now())
@@ -162,11 +162,11 @@
 	received chan struct{}
 }
 
-func (s *silentSender) Send(ctx context.Context, _ *Request, _ *Directions) (Answer, *forwarder.Failure) {
+func (s *silentSender) Send(ctx context.Context, _ *Request, _ *SendOptions) (Answer, *forwarder.Failure) {
 	if s.sent.Add(1) <= s.silent {
 		s.received <- struct{}{}
 		<-ctx.Done()
-		return nil, &forwarder.Failure{Cause: forwarder.CauseCaller, Ran: forwarder.RanUnknown}
+		return nil, &forwarder.Failure{Cause: forwarder.CauseCallerGone, Ran: forwarder.RanUnknown}
 	}
 	return &fakeAnswer{status: 200, body: "whole", end: io.EOF}, nil
 }
@@ -187,11 +187,11 @@
 			p := placer.New(placer.Options{})
 			p.Update(view)
 			sender := &silentSender{silent: c.silent, received: make(chan struct{})}
-			budget := retrier.NewShared(retrier.Allowance{Share: 1, Slack: 100})
+			budget := retrier.NewSharedBudgets(retrier.Allowance{Share: 1, Slack: 100})
 			for range 20 {
 				budget.Request("s")
 			}
-			x := New(Options{Beliefs: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
+			x := New(Options{Views: &views, Placer: p, Sender: sender, Budget: budget, Timer: timer.NewSystem()})
 			ended := make(chan Outcome, 1)
 			go func() {
 				ended <- x.Handle(t.Context(), &Request{ID: "1", Start: time.Now(), Method: "POST", Host: "h", Path: "/r/x", Key: "key"}, &recorder{})
--- a/exchanger/watch.go
+++ b/exchanger/watch.go
@@ -25,19 +25,19 @@
 
 // watch schedules a check of an upstream at which an attempt was abandoned.
 func (w *watcher) watch(u follower.Upstream) {
-	if w.opts.Gone == nil {
+	if w.opts.Terminated == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, watched := w.recheck[u.Start()]; watched {
-		w.recheck[u.Start()] = true
+	if _, watched := w.recheck[u.InstanceID()]; watched {
+		w.recheck[u.InstanceID()] = true
 		return
 	}
 	if w.recheck == nil {
 		w.recheck = make(map[string]bool)
 	}
-	w.recheck[u.Start()] = false
+	w.recheck[u.InstanceID()] = false
 	w.schedule(u)
 }
 
@@ -48,15 +48,15 @@
 // check records that the upstream terminated if it did, and schedules another check if
 // attempts were abandoned after this one was scheduled.
 func (w *watcher) check(u follower.Upstream) {
-	if w.opts.Gone(u.Address) {
-		w.opts.Quarantine.Gone(w.opts.Timer.Now(), u.Start())
+	if w.opts.Terminated(u.Address) {
+		w.opts.Quarantine.InstanceEnded(w.opts.Timer.Now(), u.InstanceID())
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.recheck[u.Start()] {
-		delete(w.recheck, u.Start())
+	if !w.recheck[u.InstanceID()] {
+		delete(w.recheck, u.InstanceID())
 		return
 	}
-	w.recheck[u.Start()] = false
+	w.recheck[u.InstanceID()] = false
 	w.schedule(u)
 }
--- a/experimenter/decisions.go
+++ b/experimenter/decisions.go
@@ -193,7 +193,7 @@
 	for j, e := range s.engines {
 		name := engineName(j)
 		h.index.ID(name)
-		h.index.Refresh(name, simEpoch.Add(10*s.spec.For))
+		h.index.ExtendLease(name, simEpoch.Add(10*s.spec.For))
 		h.targets = append(h.targets, router.Target{
 			Name: name, Hash: router.NameHash(name), Usable: true, Near: e.zone == h.zone,
 			Slots: float64(s.spec.Slots), PrefillRate: s.spec.PrefillRate, LinkRate: s.spec.LinkRate,
@@ -307,10 +307,10 @@
 	s.after(3*d, func() {
 		e.storedTokens[owner.conv] = max(e.storedTokens[owner.conv], owner.tokens)
 		s.after(s.eventDelay(), func() {
-			s.stores[i].Sealed(s.clock(), end, 1, len(x.Blocks), x.From, x.Parent)
+			s.stores[i].SegmentReported(s.clock(), end, 1, len(x.Blocks), x.From, x.Parent)
 			s.after(keptDelay, func() {
 				for _, h := range s.hosts {
-					h.index.SetKept(keeper.Kept{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
+					h.index.SetKept(keeper.KeptSegment{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
 				}
 			})
 		})
@@ -329,7 +329,7 @@
 func (s *simulation) free(i int, r keeper.Ref) {
 	owner := s.blockOwners[r.Wire]
 	delete(s.engines[i].storedTokens, owner.conv)
-	s.stores[i].Gone(r.Wire, r.Generation)
+	s.stores[i].SegmentRemoved(r.Wire, r.Generation)
 	for _, h := range s.hosts {
 		h.index.RemoveKept(engineName(i), r.Wire)
 	}
--- a/experimenter/endsmodel.go
+++ b/experimenter/endsmodel.go
@@ -25,7 +25,7 @@
 	hosts    []*endsHost
 	engines  []*endsEngine
 	lastBorn int64
-	barredAt map[quarantiner.Identity]time.Duration // time at which a bad request reached quarantiner.Bar
+	barredAt map[quarantiner.Identity]time.Duration // time at which a bad request reached quarantiner.BarThreshold
 	ends     map[quarantiner.Identity]int
 	result   EndsResult
 }
@@ -134,7 +134,7 @@
 		r := h.placer.Report()
 		for j, o := range m.hosts {
 			if i != j {
-				o.placer.Heard(m.clock(), fmt.Sprint("host-", i), r)
+				o.placer.ApplyReport(m.clock(), fmt.Sprint("host-", i), r)
 			}
 		}
 	}
@@ -142,10 +142,10 @@
 
 // sendEntries sends the changed entries of a host's ledger to all others.
 func (m *endsModel) sendEntries(h *endsHost) {
-	entries := h.ledger.News(m.clock())
+	entries := h.ledger.TakeChanges(m.clock())
 	for _, o := range m.hosts {
 		if o != h && len(entries) > 0 {
-			o.ledger.Hear(m.clock(), entries)
+			o.ledger.Merge(m.clock(), entries)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 
 // place starts a request at an engine, waits for room, or fails the request.
 func (m *endsModel) place(req *endsRequest) {
-	ask := &placer.Ask{
+	ask := &placer.PlacementRequest{
 		Service: endsService, Exclude: req.triedEngines, SaltOf: func(uint64) string { return "" },
 		Prompt: &placer.Prompt{
 			Model: "m", Output: 10, Parts: []placer.Part{{ID: req.id.String(), Tokens: endsPromptTokens}},
@@ -209,7 +209,7 @@
 		req.done(req, false)
 		return
 	case v.Standing == quarantiner.Suspect && m.policy == EndsIsolated:
-		ask.Apart = placer.Apart{Key: req.id.Key(), Ends: v.Ends}
+		ask.Isolation = placer.Isolation{Key: req.id.Key(), EndedInstances: v.Ends}
 	case v.Standing == quarantiner.Suspect && m.policy == EndsLeastLoaded:
 		ask.Exclude = m.allButLeastLoaded(req)
 	}
@@ -221,7 +221,7 @@
 	switch verdict {
 	case placer.Chosen:
 		m.startRun(req, choice)
-	case placer.Busy, placer.Awaits:
+	case placer.Busy, placer.AwaitPrefill:
 		m.after(endsPollInterval, func() { m.place(req) })
 	default:
 		req.done(req, false)
@@ -235,7 +235,7 @@
 	var all []string
 	for _, e := range m.engines {
 		all = append(all, e.id)
-		busy := req.host.placer.Busy(m.instance(e))
+		busy := req.host.placer.InFlight(m.instance(e))
 		if !slices.Contains(req.triedEngines, e.id) && (best == "" || busy < least) {
 			best, least = e.id, busy
 		}
@@ -245,5 +245,5 @@
 
 // instance returns the name of an engine's current instance.
 func (m *endsModel) instance(e *endsEngine) string {
-	return (&follower.Upstream{ID: e.id, Born: e.born}).Start()
+	return (&follower.Upstream{ID: e.id, Born: e.born}).InstanceID()
 }
--- a/experimenter/endsrun.go
+++ b/experimenter/endsrun.go
@@ -18,7 +18,7 @@
 	req.triedEngines = append(req.triedEngines, c.Upstream.ID)
 	e := m.engineOf(c)
 	if !e.up || e.born != c.Upstream.Born {
-		c.Ticket.Done(m.clock(), placer.ResultUnreached)
+		c.Ticket.Done(m.clock(), placer.ResultUnreachable)
 		m.retry(req)
 		return
 	}
@@ -66,7 +66,7 @@
 	}
 	m.result.Ends++
 	m.ends[r.request.id]++
-	if m.ends[r.request.id] == quarantiner.Bar {
+	if m.ends[r.request.id] == quarantiner.BarThreshold {
 		m.barredAt[r.request.id] = m.now
 	}
 	m.endEngine(r.engine)
@@ -79,7 +79,7 @@
 	e.runs = nil
 	for _, r := range lost {
 		req := r.request
-		r.choice.Ticket.Done(m.clock(), placer.ResultUnreached)
+		r.choice.Ticket.Done(m.clock(), placer.ResultUnreachable)
 		req.host.ledger.Ended(m.clock(), req.id, instance, r.sent)
 		if !req.bad && !req.interrupted {
 			req.interrupted = true
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -39,7 +39,7 @@
 )
 
 // fleetDurations are the simulated times of the scenarios.
-var fleetDurations = map[FleetScene]time.Duration{
+var fleetDurations = map[FleetScenario]time.Duration{
 	FleetStart: 12 * time.Second, FleetIdle: 5 * time.Second, FleetChange: 3 * time.Second,
 	FleetStorm: 5 * time.Second, FleetSeries: 10 * time.Second, FleetZone: 10 * time.Second,
 	FleetKillAll: 12 * time.Second,
@@ -155,7 +155,7 @@
 }
 
 // runScenario runs one scenario and returns its result.
-func (m *fleetModel) runScenario(scenario FleetScene) FleetResult {
+func (m *fleetModel) runScenario(scenario FleetScenario) FleetResult {
 	m.result = FleetResult{Scenario: scenario, Duration: fleetDurations[scenario]}
 	for _, h := range m.hosts {
 		h.messages, h.bytes = 0, 0
@@ -182,7 +182,7 @@
 }
 
 // inject schedules the changes of a scenario.
-func (m *fleetModel) inject(scenario FleetScene) {
+func (m *fleetModel) inject(scenario FleetScenario) {
 	switch scenario {
 	case FleetStart:
 		for _, h := range m.hosts {
@@ -254,7 +254,7 @@
 			continue
 		}
 		role := &m.result.Standby
-		if h.node.Serves() {
+		if h.node.Active() {
 			role = &m.result.Active
 		}
 		counts[role]++
@@ -286,16 +286,16 @@
 		},
 		Decoder: fleetDecoder{}, Timing: conductor.DefaultTiming(), FirstStart: first,
 		Renewer: renewer.Options{
-			Host: h.name, Term: time.Second, Turn: 3 * time.Second, Margin: 200 * time.Millisecond, AtOnce: 3,
+			Host: h.name, Term: time.Second, HandoverGap: 3 * time.Second, Margin: 200 * time.Millisecond, AtOnce: 3,
 			Seed: m.rng.Uint64(),
 		},
-		Busy:   func(string) int { return 0 },
-		Kept:   func() []placer.Placement { return nil },
-		Stores: func() []placer.StoreReport { return nil },
+		Busy:         func(string) int { return 0 },
+		Placements:   func() []placer.Placement { return nil },
+		StoreReports: func() []placer.StoreReport { return nil },
 	})
 	m.handleEvery(h, conductor.DefaultTiming().Tick, func() conductor.Event { return conductor.Tick{} })
 	m.handleEvery(h, fleetReportInterval, func() conductor.Event {
-		return conductor.WorkReported{Report: placer.Report{Work: map[string]placer.Work{}}, Use: fleetCoresInUse}
+		return conductor.WorkReported{Report: placer.Report{Work: map[string]placer.Work{}}, CoresInUse: fleetCoresInUse}
 	})
 }
 
@@ -309,18 +309,18 @@
 	switch a := a.(type) {
 	case conductor.Send:
 		m.send(h, a.To, a.Message)
-	case conductor.Spread:
+	case conductor.SendAll:
 		for _, to := range a.To {
 			m.send(h, to.Host, a.Message)
 		}
 	case conductor.Read:
 		m.read(h, a)
-	case conductor.Find:
+	case conductor.ReadAnnouncements:
 		m.reply(h, 1, func() conductor.Event { return m.announcementPage(a.After) })
-	case conductor.Seek:
+	case conductor.ReadAllAnnouncements:
 		m.reply(h, 1+len(m.announcements)/fleetPageRecords, func() conductor.Event {
-			return conductor.HostsSought{
-				Hosts: m.announcementPage("").Hosts, Whole: true, End: int64(len(m.announcements)),
+			return conductor.AllAnnouncementsRead{
+				Hosts: m.announcementPage("").Hosts, Complete: true, End: int64(len(m.announcements)),
 			}
 		})
 	case conductor.Announce:
@@ -336,7 +336,7 @@
 			h.version = a.View.Table.Version()
 		}
 	case conductor.PublishHosts:
-		h.liveHosts, h.activeHosts = 0, fmt.Sprint(a.Serving.Hosts())
+		h.liveHosts, h.activeHosts = 0, fmt.Sprint(a.Active.Hosts())
 		for _, r := range a.Hosts {
 			if r.State == tracker.HostLive {
 				h.liveHosts++
--- a/experimenter/host.go
+++ b/experimenter/host.go
@@ -16,7 +16,7 @@
 func (h *simHost) arrive(t *turn) {
 	s := h.sim
 	class := s.classes[t.conv.class]
-	if s.now >= s.spec.Warm {
+	if s.now >= s.spec.WarmUp {
 		s.requests++
 	}
 	if s.policy.NoQueue || h.queue.Len() == 0 && h.hasRoom(class.Rank) {
@@ -61,8 +61,8 @@
 // deadline.
 func (h *simHost) drain() {
 	s := h.sim
-	for _, it := range h.queue.Late(s.clock()) {
-		if s.now >= s.spec.Warm {
+	for _, it := range h.queue.RemoveLate(s.clock()) {
+		if s.now >= s.spec.WarmUp {
 			s.refused++
 		}
 		delete(h.waiting, it)
@@ -146,7 +146,7 @@
 	h.index.Lookup(h.sim.clock(), t.chain, &h.lookup)
 	req.Known = h.lookup.Known * keeper.TokensPerBlock
 	h.holdings = h.holdings[:0]
-	for _, f := range h.lookup.Found {
+	for _, f := range h.lookup.Matches {
 		h.holdings = append(h.holdings, router.Holding{
 			Target: int(f.Upstream), Cached: f.Cached * keeper.TokensPerBlock, Kept: f.Kept * keeper.TokensPerBlock,
 		})
@@ -242,12 +242,12 @@
 		return
 	}
 	name := engineName(i)
-	h.index.Placed(s.clock(), name, chain)
+	h.index.AddPlacement(s.clock(), name, chain)
 	if !first && !s.policy.NoGossip {
 		s.after(50*time.Millisecond, func() {
 			for _, o := range s.hosts {
 				if o != h {
-					o.index.PlacedEnd(s.clock(), name, chain.At(n-1))
+					o.index.AddPlacementEnd(s.clock(), name, chain.At(n-1))
 				}
 			}
 		})
@@ -274,12 +274,12 @@
 		tn.Blocks = append(tn.Blocks, chain.Raw(b))
 	}
 	s.blockOwners[chain.Raw(n-1)] = blockOwner{conv: t.conv.id, tokens: n * keeper.TokensPerBlock}
-	s.stores[i].Turn(s.clock(), tn)
+	s.stores[i].QueueTurn(s.clock(), tn)
 }
 
 // recordServed adds an answered request to the results.
 func (s *simulation) recordServed(t *turn, j *job, took time.Duration) {
-	if t.at < s.spec.Warm {
+	if t.at < s.spec.WarmUp {
 		return
 	}
 	s.times[t.conv.class].Add(took)
--- a/follower/state.go
+++ b/follower/state.go
@@ -19,9 +19,9 @@
 // State is the mutable state of one host's view. It is not safe for concurrent use.
 type State struct {
 	table            *matcher.Table
-	named            map[string]Named
-	peerNamings      map[string][]Named // peerNamings holds versions reported by other hosts, by model.
-	currentUntil     time.Time          // currentUntil is the time up to which the operators' feed is known.
+	named            map[string]VersionHistory
+	peerVersions     map[string][]VersionHistory // peerVersions holds versions reported by other hosts, by model.
+	currentUntil     time.Time                   // currentUntil is the time up to which the operators' feed is known.
 	evacuations      evacuations
 	upstreams        map[string]*entry
 	list             Upstreams            // list holds the upstreams of configured services, as last published.
@@ -43,23 +43,23 @@
 // New returns an empty state.
 func New() *State {
 	return &State{
-		named:       make(map[string]Named),
-		peerNamings: make(map[string][]Named),
-		evacuations: make(evacuations),
-		upstreams:   make(map[string]*entry),
-		dirty:       make(map[string]*Upstream),
+		named:        make(map[string]VersionHistory),
+		peerVersions: make(map[string][]VersionHistory),
+		evacuations:  make(evacuations),
+		upstreams:    make(map[string]*entry),
+		dirty:        make(map[string]*Upstream),
 	}
 }
 
-// Answered records that a call to the store, by this host or another, has succeeded.
-func (s *State) Answered(now time.Time) {
+// StoreAnswered records that a call to the store, by this host or another, has succeeded.
+func (s *State) StoreAnswered(now time.Time) {
 	if s.storeFailing {
 		s.storeFailing, s.storeRecoveredAt = false, now
 	}
 }
 
-// Failed records that a call to the store has failed or was rejected.
-func (s *State) Failed() { s.storeFailing = true }
+// StoreFailed records that a call to the store has failed or was rejected.
+func (s *State) StoreFailed() { s.storeFailing = true }
 
 // StoreFailing reports whether the last call to the store failed.
 func (s *State) StoreFailing() bool { return s.storeFailing }
@@ -77,8 +77,8 @@
 		if s.named[c.Weights.Model].Version >= c.Weights.Version {
 			return false
 		}
-		next := s.named[c.Weights.Model].succeededBy(Named{Version: c.Weights.Version, Since: now, Earliest: s.currentUntil})
-		s.named[c.Weights.Model] = next.merge(s.peerNamings[c.Weights.Model])
+		next := s.named[c.Weights.Model].succeededBy(VersionHistory{Version: c.Weights.Version, Since: now, Earliest: s.currentUntil})
+		s.named[c.Weights.Model] = next.merge(s.peerVersions[c.Weights.Model])
 		return true
 	case c.Evacuation != nil:
 		return s.evacuations.apply(now, *c.Evacuation, offset)
@@ -119,7 +119,7 @@
 	if u.Cold > 0 {
 		u.ColdUntil = now.Add(u.Cold) // an upper bound, as the entry was written earlier
 	}
-	u.start = u.Start()
+	u.instanceID = u.InstanceID()
 	u.Service, u.AvailabilityZone = unique.Make(u.Service).Value(), unique.Make(u.AvailabilityZone).Value()
 	e := s.upstreams[u.ID]
 	if e == nil {
@@ -163,57 +163,57 @@
 	}
 }
 
-// Namings returns the known weight versions of all models, including earlier ones.
-func (s *State) Namings(now time.Time) []Naming {
-	return namings(now, s.named)
+// VersionAges returns the known weight versions of all models, including earlier ones.
+func (s *State) VersionAges(now time.Time) []VersionAge {
+	return versionAges(now, s.named)
 }
 
-func namings(now time.Time, named map[string]Named) []Naming {
-	var out []Naming
+func versionAges(now time.Time, named map[string]VersionHistory) []VersionAge {
+	var out []VersionAge
 	for model, n := range named {
 		for _, b := range append(slices.Clone(n.previous), n) {
-			out = append(out, Naming{Model: model, Version: b.Version, Age: now.Sub(b.Since)})
+			out = append(out, VersionAge{Model: model, Version: b.Version, Age: now.Sub(b.Since)})
 		}
 	}
 	return out
 }
 
-// Namings returns the known weight versions of all models, including earlier ones.
-func (v *View) Namings(now time.Time) []Naming { return namings(now, v.Named) }
+// VersionAges returns the known weight versions of all models, including earlier ones.
+func (v *View) VersionAges(now time.Time) []VersionAge { return versionAges(now, v.Versions) }
 
-// Recall merges weight versions reported by another host and reports whether the view changes.
+// MergeVersionAges merges weight versions reported by another host and reports whether the view changes.
 // Without them a host that has just started would treat versions replaced long ago as replaced
 // recently.
-func (s *State) Recall(now time.Time, reported []Naming) bool {
+func (s *State) MergeVersionAges(now time.Time, reported []VersionAge) bool {
 	for _, t := range reported {
-		s.peerNamings[t.Model] = append(s.peerNamings[t.Model], Named{Version: t.Version, Since: now.Add(-t.Age)})
+		s.peerVersions[t.Model] = append(s.peerVersions[t.Model], VersionHistory{Version: t.Version, Since: now.Add(-t.Age)})
 	}
 	changed := false
 	for _, t := range reported {
 		if n, ok := s.named[t.Model]; ok {
-			next := n.merge(s.peerNamings[t.Model])
+			next := n.merge(s.peerVersions[t.Model])
 			changed = changed || !next.equal(n)
 			s.named[t.Model] = next
 		}
 	}
 	for model, n := range s.named {
 		if n.Version > 0 {
-			delete(s.peerNamings, model) // merged above or by Apply
+			delete(s.peerVersions, model) // merged above or by Apply
 		}
 	}
 	return changed
 }
 
-// Current records that the operators' feed is known up to a time. Earlier times are ignored.
-func (s *State) Current(at time.Time) {
+// SetCurrent records that the operators' feed is known up to a time. Earlier times are ignored.
+func (s *State) SetCurrent(at time.Time) {
 	if at.After(s.currentUntil) {
 		s.currentUntil = at
 	}
 }
 
-// Renewed records that a start of an upstream has loaded a weight version, ahead of its entry in
+// WeightsLoaded records that a start of an upstream has loaded a weight version, ahead of its entry in
 // the feed. It reports whether that is new.
-func (s *State) Renewed(id string, born int64, model string, version uint64) bool {
+func (s *State) WeightsLoaded(id string, born int64, model string, version uint64) bool {
 	e := s.upstreams[id]
 	if e == nil || e.upstream.Born != born || e.upstream.Weights[model] >= version {
 		return false
@@ -305,25 +305,25 @@
 // View is an immutable snapshot of the state, for handling requests.
 type View struct {
 	Table     *matcher.Table // Table is nil while no configuration is known.
-	Named     map[string]Named
+	Versions  map[string]VersionHistory
 	Listed    bool // Listed reports whether a complete listing was applied; if not, Upstreams may lack some.
 	Upstreams Upstreams
-	// Evacuated holds the availability zones whose upstreams get no new requests, Returned the
+	// Evacuated holds the availability zones whose upstreams get no new requests, EvacuationsEnded the
 	// times at which past evacuations ended.
-	Evacuated map[string]bool
-	Returned  map[string]time.Time
+	Evacuated        map[string]bool
+	EvacuationsEnded map[string]time.Time
 }
 
-// Takes reports whether an upstream accepts new requests.
-func (v *View) Takes(u *Upstream) bool {
+// Accepts reports whether an upstream accepts new requests.
+func (v *View) Accepts(u *Upstream) bool {
 	return u.Standing == StandingReady && !v.Evacuated[u.AvailabilityZone]
 }
 
-// Taking returns the IDs of a service's upstreams that accept new requests.
-func (v *View) Taking(service string) []string {
+// Accepting returns the IDs of a service's upstreams that accept new requests.
+func (v *View) Accepting(service string) []string {
 	var out []string
 	for u := range v.Upstreams.All() {
-		if u.Service == service && v.Takes(u) {
+		if u.Service == service && v.Accepts(u) {
 			out = append(out, u.ID)
 		}
 	}
@@ -348,11 +348,11 @@
 	s.list = s.list.With(s.dirty)
 	clear(s.dirty)
 	return &View{
-		Table:     s.table,
-		Listed:    s.listed,
-		Named:     maps.Clone(s.named),
-		Upstreams: s.list,
-		Evacuated: s.evacuations.evacuated(),
-		Returned:  s.evacuations.endTimes(),
+		Table:            s.table,
+		Listed:           s.listed,
+		Versions:         maps.Clone(s.named),
+		Upstreams:        s.list,
+		Evacuated:        s.evacuations.evacuated(),
+		EvacuationsEnded: s.evacuations.endTimes(),
 	}
 }
--- a/follower/state_test.go
+++ b/follower/state_test.go
@@ -46,13 +46,13 @@
 		}
 		state.Replace(now, listed, s.Offset)
 	case "renewed":
-		state.Renewed(s.ID, s.Born, "m", s.Weights)
+		state.WeightsLoaded(s.ID, s.Born, "m", s.Weights)
 	case "unreadable":
 		state.Drop(s.ID, s.Offset)
 	case "failed":
-		state.Failed()
+		state.StoreFailed()
 	case "answered":
-		state.Answered(now)
+		state.StoreAnswered(now)
 	case "expire":
 		state.Expire(now)
 	default:
@@ -77,7 +77,7 @@
 				now = now.Add(s.After.Std())
 				s.apply(t, state, now)
 				view := state.View()
-				got := view.Taking("s")
+				got := view.Accepting("s")
 				assert.DeepEqual(t, append([]string{}, got...), append([]string{}, s.Want...))
 				if s.WantWeights > 0 {
 					assert.Equal(t, slices.Collect(view.Upstreams.All())[0].Weights["m"], s.WantWeights, fmt.Sprintf("step %d", i))
@@ -107,10 +107,10 @@
 		assert.Equal(t, state.Table().Version(), c.want)
 	}
 	state.Apply(now, Change{Weights: &Weights{Model: "m", Version: 2}}, 1)
-	since := state.View().Named["m"].Since
+	since := state.View().Versions["m"].Since
 	state.Apply(now.Add(time.Second), Change{Weights: &Weights{Model: "m", Version: 2}}, 2)
 	state.Apply(now.Add(time.Second), Change{Weights: &Weights{Model: "m", Version: 1}}, 3)
-	got := state.View().Named["m"]
+	got := state.View().Versions["m"]
 	assert.Equal(t, got.Version, uint64(2))
 	assert.Equal(t, got.Since, since)
 }
@@ -123,7 +123,7 @@
 	for i, v := range []uint64{1, 2, 5} {
 		state.Apply(at(10*i), Change{Weights: &Weights{Model: "m", Version: v}}, int64(i))
 	}
-	named := state.View().Named["m"]
+	named := state.View().Versions["m"]
 	assert.Equal(t, named.Replaced(1), at(10))
 	assert.Equal(t, named.Replaced(2), at(20))
 	assert.Equal(t, named.Replaced(4), at(20))
@@ -138,40 +138,44 @@
 		s.Apply(at, Change{Weights: &Weights{Model: "m", Version: version}}, 0)
 	}
 	name(now, 3)
-	named := s.View().Named["m"]
+	named := s.View().Versions["m"]
 	assert.Assert(t, named.InForceUntil(2).IsZero(), "versions before the start are unknown")
-	s.Current(now)
+	s.SetCurrent(now)
 	name(now.Add(9*time.Second), 4) // after a network partition
-	named = s.View().Named["m"]
+	named = s.View().Versions["m"]
 	assert.Equal(t, named.InForceUntil(3), now)
 	assert.Equal(t, named.Replaced(3), now.Add(9*time.Second))
-	s.Current(now.Add(9 * time.Second))
+	s.SetCurrent(now.Add(9 * time.Second))
 	name(now.Add(10*time.Second), 5)
-	named = s.View().Named["m"]
+	named = s.View().Versions["m"]
 	assert.Equal(t, named.InForceUntil(3), now)
 	assert.Equal(t, named.InForceUntil(4), now.Add(9*time.Second))
 }
 
-// TestRecalledNamings: a restarted host learns from others when weights were replaced, before or
+// TestMergedVersionAges: a restarted host learns from others when weights were replaced, before or
 // after it has read the newest version itself.
-func TestRecalledNamings(t *testing.T) {
+func TestMergedVersionAges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	other := New()
 	for i, v := range []uint64{2, 3, 4} {
 		other.Apply(ago(time.Duration(20-9*i)*time.Second), Change{Weights: &Weights{Model: "m", Version: v}}, int64(i))
 	}
-	reported := other.Namings(now)
+	reported := other.VersionAges(now)
 	newest := Change{Weights: &Weights{Model: "m", Version: 4}}
 	for name, learn := range map[string]func(s *State){
-		"report first": func(s *State) { s.Recall(now, reported); s.Apply(now, newest, 2) },
-		"record first": func(s *State) { s.Apply(now, newest, 2); s.Recall(now, reported) },
-		"report twice": func(s *State) { s.Recall(now, reported); s.Apply(now, newest, 2); s.Recall(now, reported) },
+		"report first": func(s *State) { s.MergeVersionAges(now, reported); s.Apply(now, newest, 2) },
+		"record first": func(s *State) { s.Apply(now, newest, 2); s.MergeVersionAges(now, reported) },
+		"report twice": func(s *State) {
+			s.MergeVersionAges(now, reported)
+			s.Apply(now, newest, 2)
+			s.MergeVersionAges(now, reported)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := New()
 			learn(s)
-			named := s.View().Named["m"]
+			named := s.View().Versions["m"]
 			assert.Equal(t, named.Version, uint64(4))
 			assert.Equal(t, named.Replaced(2), ago(11*time.Second))
 			assert.Equal(t, named.Replaced(3), ago(2*time.Second))
--- a/follower/types.go
+++ b/follower/types.go
@@ -23,9 +23,9 @@
 	FeedUpstreams Feed = "Upstreams" // FeedUpstreams holds an entry for each upstream.
 )
 
-// ErrForgotten is returned for a read from an offset that the store has compacted away. The newest
+// ErrCompacted is returned for a read from an offset that the store has compacted away. The newest
 // record of each key is still available.
-var ErrForgotten = errors.New("follower: requested records have been compacted by the store")
+var ErrCompacted = errors.New("follower: requested records have been compacted by the store")
 
 // Record is one record of a feed, as hosts store it and send it to each other.
 type Record struct {
@@ -34,15 +34,15 @@
 	Offset int64  `cbor:"3,keyasint"`
 }
 
-// News is a page of a feed that a host has read and forwards to others.
-type News struct {
-	Feed    Feed          `cbor:"1,keyasint"`
-	Full    bool          `cbor:"2,keyasint,omitempty"` // Full reports whether Records has the newest record of every key.
-	From    int64         `cbor:"3,keyasint"`
-	Next    int64         `cbor:"4,keyasint"`           // Next is the offset after the last record covered.
-	Age     time.Duration `cbor:"5,keyasint,omitempty"` // Age is how long ago the page was read.
-	Records []Record      `cbor:"6,keyasint,omitempty"`
-	Kept    bool          `cbor:"7,keyasint,omitempty"` // Kept reports whether the page comes from a host's memory instead of a recent read.
+// FeedPage is a page of a feed that a host has read and forwards to others.
+type FeedPage struct {
+	Feed       Feed          `cbor:"1,keyasint"`
+	Full       bool          `cbor:"2,keyasint,omitempty"` // Full reports whether Records has the newest record of every key.
+	From       int64         `cbor:"3,keyasint"`
+	Next       int64         `cbor:"4,keyasint"`           // Next is the offset after the last record covered.
+	Age        time.Duration `cbor:"5,keyasint,omitempty"` // Age is how long ago the page was read.
+	Records    []Record      `cbor:"6,keyasint,omitempty"`
+	FromMemory bool          `cbor:"7,keyasint,omitempty"` // FromMemory reports whether the page comes from a host's memory instead of a recent read.
 }
 
 // Standing is the state that an upstream reports of itself.
@@ -66,30 +66,30 @@
 	ColdUntil        time.Time         // ColdUntil is the end of its cold start as computed by State.
 	Weights          map[string]uint64 // Weights holds the weight version of each model.
 
-	start string // start caches the result of Start.
+	instanceID string // instanceID caches the result of Start.
 }
 
-// Start returns an identifier of this start of the upstream. State that is known of an earlier
+// InstanceID returns an identifier of this start of the upstream. State that is known of an earlier
 // start under the same ID does not apply to it: a restart loses the cache and all requests.
-func (u *Upstream) Start() string {
+func (u *Upstream) InstanceID() string {
 	switch {
 	case u.Born == 0:
 		return u.ID
-	case u.start != "":
-		return u.start
+	case u.instanceID != "":
+		return u.instanceID
 	}
 	return u.ID + startSeparator + strconv.FormatInt(u.Born, 36)
 }
 
-// IDOf returns the upstream's ID from an identifier returned by Start.
-func IDOf(start string) string {
-	if at := strings.LastIndex(start, startSeparator); at >= 0 {
-		return start[:at]
+// UpstreamID returns the upstream's ID from an identifier returned by InstanceID.
+func UpstreamID(instance string) string {
+	if at := strings.LastIndex(instance, startSeparator); at >= 0 {
+		return instance[:at]
 	}
-	return start
+	return instance
 }
 
-// startSeparator separates the ID from the time in an identifier returned by Start.
+// startSeparator separates the ID from the time in an identifier returned by InstanceID.
 const startSeparator = "@"
 
 // Change is the decoded content of one record. At most one field is set; none is set if the
@@ -108,12 +108,12 @@
 	Version uint64
 }
 
-// Named is a weight version in force, with the time at which this host learned of it.
-type Named struct {
+// VersionHistory is a weight version in force, with the time at which this host learned of it.
+type VersionHistory struct {
 	Version  uint64
 	Since    time.Time
-	Earliest time.Time // Earliest is a time at which it was not in force yet; zero if none is known.
-	previous []Named   // previous holds earlier versions, oldest first.
+	Earliest time.Time        // Earliest is a time at which it was not in force yet; zero if none is known.
+	previous []VersionHistory // previous holds earlier versions, oldest first.
 }
 
 // maxPreviousVersions bounds the history. Engines are updated within seconds, so that few
@@ -121,7 +121,7 @@
 const maxPreviousVersions = 8
 
 // succeededBy returns next with n added to its history.
-func (n Named) succeededBy(next Named) Named {
+func (n VersionHistory) succeededBy(next VersionHistory) VersionHistory {
 	if n.Version == 0 {
 		return next
 	}
@@ -136,18 +136,18 @@
 
 // merge returns n with the history that another host reported, which may have learned of
 // versions sooner, or of ones that were replaced before this host started.
-func (n Named) merge(reported []Named) Named {
-	all := append(slices.Clone(n.previous), Named{Version: n.Version, Since: n.Since, Earliest: n.Earliest})
+func (n VersionHistory) merge(reported []VersionHistory) VersionHistory {
+	all := append(slices.Clone(n.previous), VersionHistory{Version: n.Version, Since: n.Since, Earliest: n.Earliest})
 	for _, t := range reported {
-		i := slices.IndexFunc(all, func(o Named) bool { return o.Version == t.Version })
+		i := slices.IndexFunc(all, func(o VersionHistory) bool { return o.Version == t.Version })
 		switch {
 		case i >= 0:
 			all[i].Since = earlierTime(all[i].Since, t.Since)
 		case t.Version < n.Version:
-			all = append(all, Named{Version: t.Version, Since: t.Since})
+			all = append(all, VersionHistory{Version: t.Version, Since: t.Since})
 		}
 	}
-	slices.SortFunc(all, func(a, b Named) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(all, func(a, b VersionHistory) int { return cmp.Compare(a.Version, b.Version) })
 	last := all[len(all)-1]
 	last.previous = all[:len(all)-1]
 	if over := len(last.previous) - maxPreviousVersions; over > 0 {
@@ -157,8 +157,8 @@
 }
 
 // equal reports whether n and o have the same version and history, Earliest aside.
-func (n Named) equal(o Named) bool {
-	equalVersion := func(a, b Named) bool { return a.Version == b.Version && a.Since.Equal(b.Since) }
+func (n VersionHistory) equal(o VersionHistory) bool {
+	equalVersion := func(a, b VersionHistory) bool { return a.Version == b.Version && a.Since.Equal(b.Since) }
 	return equalVersion(n, o) && slices.EqualFunc(n.previous, o.previous, equalVersion)
 }
 
@@ -170,15 +170,15 @@
 	return a
 }
 
-// Naming is a weight version with the time since a host learned of it, as sent to other hosts.
-type Naming struct {
+// VersionAge is a weight version with the time since a host learned of it, as sent to other hosts.
+type VersionAge struct {
 	Model   string        `cbor:"1,keyasint"`
 	Version uint64        `cbor:"2,keyasint"`
 	Age     time.Duration `cbor:"3,keyasint"` // Age is the time since the host learned of it.
 }
 
 // firstAfter returns the first version put in force that is later than the given one.
-func (n Named) firstAfter(version uint64) Named {
+func (n VersionHistory) firstAfter(version uint64) VersionHistory {
 	for _, b := range n.previous {
 		if b.Version > version {
 			return b
@@ -189,8 +189,8 @@
 
 // Replaced returns when this host learned that a version was replaced, which is when it
 // learned of the first later one.
-func (n Named) Replaced(version uint64) time.Time { return n.firstAfter(version).Since }
+func (n VersionHistory) Replaced(version uint64) time.Time { return n.firstAfter(version).Since }
 
 // InForceUntil returns a time at which a version had certainly not been replaced yet; zero if
 // none is known. Unlike Replaced it does not depend on how late this host learned of it.
-func (n Named) InForceUntil(version uint64) time.Time { return n.firstAfter(version).Earliest }
+func (n VersionHistory) InForceUntil(version uint64) time.Time { return n.firstAfter(version).Earliest }
--- a/forwarder/pool.go
+++ b/forwarder/pool.go
@@ -93,14 +93,14 @@
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// Most limits the connections of all hosts together to the address; if it is 0,
+	// MaxConns limits the connections of all hosts together to the address; if it is 0,
 	// PoolOptions.ConnsPerUpstream applies.
-	Most int
+	MaxConns int
 	// Once marks a request that must run at most once. It is not sent on a connection
 	// that was idle for long.
 	Once bool
-	// Own reports whether an answer belongs to this call; nil accepts all answers.
-	Own func(h http.Header) bool
+	// Accept reports whether an answer belongs to this call; nil accepts all answers.
+	Accept func(h http.Header) bool
 }
 
 // Reply is an answer of which the body has not been read.
@@ -119,8 +119,8 @@
 	ctx        context.Context
 }
 
-// Divide sets the number of hosts that divide the connection limits evenly.
-func (p *Pool) Divide(hosts int) {
+// SetHosts sets the number of hosts that divide the connection limits evenly.
+func (p *Pool) SetHosts(hosts int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hosts = max(1, hosts)
@@ -192,7 +192,7 @@
 		fail.Ran = RanNo
 	}
 	if ctx.Err() != nil {
-		fail.Cause = CauseCaller
+		fail.Cause = CauseCallerGone
 	}
 	return nil, fail
 }
@@ -201,7 +201,7 @@
 	if c := p.takeIdle(call); c != nil {
 		return c, nil
 	}
-	if !p.reserveWithin(call.Address, call.Most) {
+	if !p.reserveWithin(call.Address, call.MaxConns) {
 		return nil, &Failure{Cause: CauseConnect, Ran: RanNo, Detail: "all connections to the upstream are in use"}
 	}
 	conn, err := p.dialer.DialContext(ctx, "tcp4", call.Address)
@@ -211,7 +211,7 @@
 		p.mu.Unlock()
 		cause := CauseConnect
 		if ctx.Err() != nil {
-			cause = CauseCaller
+			cause = CauseCallerGone
 		}
 		return nil, &Failure{Cause: cause, Ran: RanNo, Detail: err.Error(), NoListener: errors.Is(err, syscall.ECONNREFUSED)}
 	}
@@ -338,7 +338,7 @@
 		if err != nil {
 			return err
 		}
-		if call.Own == nil || call.Own(resp.Header) {
+		if call.Accept == nil || call.Accept(resp.Header) {
 			r.Status, r.Header, r.Length = resp.StatusCode, resp.Header, resp.ContentLength
 			r.body, r.closeAfter = resp.Body, resp.Close || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 			return nil
--- a/forwarder/pool_test.go
+++ b/forwarder/pool_test.go
@@ -125,7 +125,7 @@
 	reply, fail := p.Do(context.Background(), &Call{
 		Address: s.listener.Addr().String(), Method: http.MethodPost, Target: "/x", Host: "h",
 		Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
-		Own: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Accept: func(h http.Header) bool { return h.Get("X-Id") == id },
 	})
 	if want.Cause != "" {
 		assert.Assert(t, fail != nil)
@@ -168,8 +168,8 @@
 	s := newPoolServer(t, []poolAnswer{{Text: "200 OK|Content-Length: 0||"}, {Text: "200 OK|Content-Length: 0||"}})
 	p := NewPool(PoolOptions{})
 	address := s.listener.Addr().String()
-	p.Divide(3)
-	call := &Call{Address: address, Most: 5, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
+	p.SetHosts(3)
+	call := &Call{Address: address, MaxConns: 5, Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
 	first, fail := p.Do(context.Background(), call)
 	assert.Assert(t, fail == nil)
 	_, fail = p.Do(context.Background(), call)
--- a/forwarder/reach_test.go
+++ b/forwarder/reach_test.go
@@ -31,23 +31,23 @@
 	assert.Assert(t, p.Refuses(address))
 }
 
-// TestGone checks that an open idle connection makes a probe unnecessary, and that the
+// TestTerminated checks that an open idle connection makes a probe unnecessary, and that the
 // address is probed once the connection is closed.
-func TestGone(t *testing.T) {
+func TestTerminated(t *testing.T) {
 	p := NewPool(PoolOptions{})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
-	assert.Assert(t, !p.Gone(address)) // opens a connection
-	assert.Assert(t, !p.Gone(address))
+	assert.Assert(t, !p.Terminated(address)) // opens a connection
+	assert.Assert(t, !p.Terminated(address))
 	assert.Equal(t, p.Opened.Load(), uint64(1))
 	conn, err := l.Accept()
 	assert.NilError(t, err)
 	assert.NilError(t, l.Close())
-	assert.Assert(t, !p.Gone(address))
+	assert.Assert(t, !p.Terminated(address))
 	assert.NilError(t, conn.Close())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if p.Gone(address) {
+		if p.Terminated(address) {
 			return poll.Success()
 		}
 		return poll.Continue("the close has not arrived")
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -38,7 +38,7 @@
 				},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					r, err := experimenter.Forward(ctx, experimenter.ForwardOptions{
-						Rate: c.Float("rate"), For: c.Duration("for"), Tokens: c.Int("tokens"), Prompt: c.Int("prompt"), Streams: c.Int("streams"), Spacing: c.Duration("spacing"),
+						Rate: c.Float("rate"), For: c.Duration("for"), Tokens: c.Int("tokens"), Prompt: c.Int("prompt"), Streams: c.Int("streams"), TokenInterval: c.Duration("spacing"),
 					})
 					if err == nil {
 						r.Print(e.out)
@@ -68,12 +68,12 @@
 			&cli.IntFlag{Name: "workers", Value: 6, Usage: "`NUMBER` of policies at once"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
-			spec, err := experimenter.Deployment(c.String("deployment"))
+			spec, err := experimenter.SpecByName(c.String("deployment"))
 			if err != nil {
 				return withExitCode(ExitUsage, err)
 			}
 			spec.For = time.Duration(float64(spec.For) * c.Float("scale"))
-			spec.Warm = time.Duration(float64(spec.Warm) * c.Float("scale"))
+			spec.WarmUp = time.Duration(float64(spec.WarmUp) * c.Float("scale"))
 			if c.Bool("no-burst") {
 				for i := range spec.Classes {
 					spec.Classes[i].Burst.Factor = 0
@@ -85,14 +85,14 @@
 			}
 			cond := experimenter.Conditions{Lag: c.Duration("lag"), EventLoss: c.Float("event-loss"), LinkFactor: c.Float("links")}
 			if c.Bool("zone-down") {
-				cond.ZoneDown = spec.Warm + (spec.For-spec.Warm)/2
+				cond.ZoneDown = spec.WarmUp + (spec.For-spec.WarmUp)/2
 			}
 			policies := experimenter.Policies()
 			if n := c.Int("policies"); n > 0 {
 				policies = policies[:min(n, len(policies))]
 			}
 			results := experimenter.Compare(spec, policies, cond, c.Uint64("seed"), c.Int("workers"))
-			experimenter.Print(e.out, results)
+			experimenter.PrintDecisions(e.out, results)
 			if path := c.String("plot"); path != "" {
 				return experimenter.WritePlot(path, results, 0)
 			}
@@ -208,7 +208,7 @@
 				results := experimenter.Fleet(experimenter.FleetOptions{
 					Hosts: hosts, Upstreams: hosts * c.Int("upstreams"), Zones: c.Int("zones"), Large: c.Int("large"),
 					LinkMbps: c.Float("link"), Series: c.Int("series"), Seed: c.Uint64("seed"),
-					Progress: func(scene experimenter.FleetScene, virtual time.Duration) {
+					Progress: func(scene experimenter.FleetScenario, virtual time.Duration) {
 						if time.Since(lastPrint) > time.Second {
 							lastPrint = time.Now()
 							fmt.Fprintf(e.err, "\r%d hosts, %s: %.1f s   ", hosts, scene, virtual.Seconds())
--- a/introducer/introducer.go
+++ b/introducer/introducer.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// Introducers is the number of announced hosts from which others need not announce themselves:
+	// MinAnnouncements is the number of announced hosts from which others need not announce themselves:
 	// enough to spread the first contacts of a large fleet over them.
-	Introducers = 48
-	// FirstSpread is the jitter of the first read of hosts that all start for the first time. Hosts that
-	// read before there are Introducers announcements append their own as well, so that it bounds the
+	MinAnnouncements = 48
+	// FirstReadJitter is the jitter of the first read of hosts that all start for the first time. Hosts that
+	// read before there are MinAnnouncements announcements append their own as well, so that it bounds the
 	// number of concurrent appends.
-	FirstSpread = time.Second
+	FirstReadJitter = time.Second
 	// contactTimeout is how long to wait for contact with announced hosts before the next page is read.
 	contactTimeout = 1500 * time.Millisecond
 	// maxAppendBackoff and maxReadBackoff bound the backoff after a failed call. Reads are cheap for the
@@ -31,7 +31,7 @@
 
 const (
 	CallNone     Call = "None"
-	CallFind     Call = "Find"     // CallFind reads a page of announcements.
+	CallRead     Call = "Find"     // CallRead reads a page of announcements.
 	CallAnnounce Call = "Announce" // CallAnnounce writes this host's own announcement.
 )
 
@@ -46,9 +46,9 @@
 	Host  string // Host is this host's name.
 	Peers string // Peers is its address for other hosts.
 	// FirstStart reports whether all hosts start for the first time, so that none is announced yet.
-	FirstStart bool
-	Again      time.Duration // Again is the backoff after the first failed call; default 250 ms.
-	Seed       uint64        // Seed is that of the jitter; it must differ between hosts.
+	FirstStart     bool
+	InitialBackoff time.Duration // InitialBackoff is the backoff after the first failed call; default 250 ms.
+	Seed           uint64        // Seed is that of the jitter; it must differ between hosts.
 }
 
 // Introducer discovers the other hosts of the fleet for one host. It is not safe for concurrent use.
@@ -65,7 +65,7 @@
 	othersOnPage   bool   // othersOnPage reports whether the last page had other hosts.
 	lastPage       bool   // lastPage reports whether no page follows it.
 	announceNeeded bool   // announceNeeded reports whether too few others are announced.
-	hasFailed      bool   // hasFailed reports whether a call failed since FirstSpread was last applied.
+	hasFailed      bool   // hasFailed reports whether a call failed since FirstReadJitter was last applied.
 	announced      bool
 	contacted      bool // contacted reports whether there was contact with another host.
 	done           bool
@@ -73,31 +73,31 @@
 
 // New returns an Introducer for a host that starts.
 func New(opts Options) *Introducer {
-	if opts.Again == 0 {
-		opts.Again = 250 * time.Millisecond
+	if opts.InitialBackoff == 0 {
+		opts.InitialBackoff = 250 * time.Millisecond
 	}
 	return &Introducer{opts: opts, rng: rand.New(rand.NewPCG(opts.Seed, 1))}
 }
 
-// Read reports whether at least the first page of announcements was read.
-func (i *Introducer) Read() bool { return i.hasRead }
+// HasRead reports whether at least the first page of announcements was read.
+func (i *Introducer) HasRead() bool { return i.hasRead }
 
-// Over reports whether discovery has ended: another host was contacted, or all announcements were
+// Done reports whether discovery has ended: another host was contacted, or all announcements were
 // read without one.
-func (i *Introducer) Over() bool { return i.done }
+func (i *Introducer) Done() bool { return i.done }
 
 // After returns the name after which the next page begins; empty for the first page.
 func (i *Introducer) After() string { return i.pageStart }
 
-// Met records contact with another host, which makes this one known to the rest.
-func (i *Introducer) Met() { i.contacted = true }
+// Contacted records contact with another host, which makes this one known to the rest.
+func (i *Introducer) Contacted() { i.contacted = true }
 
-// Next returns the call that is due. Its result must be passed to Found or Announced.
+// Next returns the call that is due. Its result must be passed to ReadDone or AnnounceDone.
 func (i *Introducer) Next(now time.Time) Call {
 	if i.dueAt.IsZero() {
 		i.dueAt = now
 		if i.opts.FirstStart {
-			i.dueAt = now.Add(i.randomBelow(FirstSpread))
+			i.dueAt = now.Add(i.randomBelow(FirstReadJitter))
 		}
 	}
 	if i.done || i.callPending || now.Before(i.dueAt) {
@@ -113,7 +113,7 @@
 	case i.contacted && !i.announceNeeded:
 		return CallNone
 	case !i.readIsFresh:
-		return CallFind
+		return CallRead
 	case i.announceNeeded && !i.announced:
 		return CallAnnounce
 	case i.contacted:
@@ -123,11 +123,11 @@
 	case i.lastPage:
 		return CallNone
 	}
-	return CallFind
+	return CallRead
 }
 
-// Found handles the result of CallFind.
-func (i *Introducer) Found(now time.Time, p Page, err error) {
+// ReadDone handles the result of CallRead.
+func (i *Introducer) ReadDone(now time.Time, p Page, err error) {
 	i.callPending = false
 	if err != nil {
 		i.backOff(now, maxReadBackoff)
@@ -142,22 +142,22 @@
 			i.announced = true
 		}
 	}
-	i.announceNeeded = p.Next == "" && (others == 0 || i.pageStart == "" && others < Introducers)
+	i.announceNeeded = p.Next == "" && (others == 0 || i.pageStart == "" && others < MinAnnouncements)
 	i.hasRead, i.readIsFresh, i.backoff = true, true, 0
 	i.othersOnPage, i.lastPage, i.pageStart = others > 0, p.Next == "", p.Next
 	i.dueAt = now
 	switch {
 	case i.announceNeeded && !i.announced && i.hasFailed:
 		// The store has recovered, and all hosts read it at the same time: read again with jitter.
-		i.hasFailed, i.readIsFresh, i.dueAt = false, false, now.Add(i.randomBelow(FirstSpread))
+		i.hasFailed, i.readIsFresh, i.dueAt = false, false, now.Add(i.randomBelow(FirstReadJitter))
 	case i.othersOnPage && (i.announced || !i.announceNeeded):
 		i.dueAt = now.Add(contactTimeout)
 	}
 }
 
-// Announced handles the result of CallAnnounce. A failed append may have succeeded in the store: the
+// AnnounceDone handles the result of CallAnnounce. A failed append may have succeeded in the store: the
 // announcements are read before it is repeated.
-func (i *Introducer) Announced(now time.Time, err error) {
+func (i *Introducer) AnnounceDone(now time.Time, err error) {
 	i.callPending, i.readIsFresh, i.pageStart = false, false, ""
 	if err != nil {
 		i.backOff(now, maxAppendBackoff)
@@ -169,7 +169,7 @@
 // backOff schedules the next call after a failed one, with exponential backoff and jitter.
 func (i *Introducer) backOff(now time.Time, maxBackoff time.Duration) {
 	i.hasFailed = true
-	i.backoff = min(max(2*i.backoff, i.opts.Again), maxBackoff/2)
+	i.backoff = min(max(2*i.backoff, i.opts.InitialBackoff), maxBackoff/2)
 	i.dueAt = now.Add(i.backoff + i.randomBelow(i.backoff))
 }
 
--- a/introducer/introducer_test.go
+++ b/introducer/introducer_test.go
@@ -99,7 +99,7 @@
 		e.do()
 	}
 	switch h.introducer.Next(f.now) {
-	case CallFind:
+	case CallRead:
 		f.list(h)
 	case CallAnnounce:
 		f.announce(h)
@@ -111,7 +111,7 @@
 func (f *fleet) list(h *host) {
 	f.reads++
 	if f.storeDown {
-		h.schedule(f.now.Add(responseTime), func() { h.introducer.Found(f.now, Page{}, errRejected) })
+		h.schedule(f.now.Add(responseTime), func() { h.introducer.ReadDone(f.now, Page{}, errRejected) })
 		return
 	}
 	var p Page
@@ -126,7 +126,7 @@
 		p.Hosts = append(p.Hosts, tracker.HostRecord{Host: c.name, Peers: c.name})
 	}
 	h.schedule(f.now.Add(responseTime), func() {
-		h.introducer.Found(f.now, p, nil)
+		h.introducer.ReadDone(f.now, p, nil)
 		for _, r := range p.Hosts {
 			if i, _ := slices.BinarySearchFunc(f.hosts, r.Host, func(o *host, name string) int { return cmp.Compare(o.name, name) }); i < len(f.hosts) && r.Host != h.name && !f.hosts[i].gone {
 				f.contact(h, f.hosts[i])
@@ -140,7 +140,7 @@
 func (f *fleet) contact(a, b *host) {
 	for _, h := range []*host{a, b} {
 		h.schedule(f.now.Add(contactDelay), func() {
-			h.introducer.Met()
+			h.introducer.Contacted()
 			if h.contactedAt.IsZero() {
 				h.contactedAt = f.now
 			}
@@ -155,17 +155,17 @@
 		free = f.now
 	}
 	if f.storeDown || free.Sub(f.now) > maxQueueTime {
-		h.schedule(f.now.Add(responseTime), func() { h.introducer.Announced(f.now, errRejected) })
+		h.schedule(f.now.Add(responseTime), func() { h.introducer.AnnounceDone(f.now, errRejected) })
 		return
 	}
 	f.partitionFreeAt = free.Add(appendTime)
 	f.put(h.name, f.partitionFreeAt)
 	took := f.partitionFreeAt.Sub(f.now)
 	if took > f.appendTimeout {
-		h.schedule(f.now.Add(f.appendTimeout), func() { h.introducer.Announced(f.now, errors.New("no answer")) })
+		h.schedule(f.now.Add(f.appendTimeout), func() { h.introducer.AnnounceDone(f.now, errors.New("no answer")) })
 		return
 	}
-	h.schedule(f.partitionFreeAt, func() { h.introducer.Announced(f.now, nil) })
+	h.schedule(f.partitionFreeAt, func() { h.introducer.AnnounceDone(f.now, nil) })
 }
 
 func (f *fleet) put(name string, at time.Time) {
@@ -198,7 +198,7 @@
 			assert.Equal(t, f.countUncontacted(), 0)
 			assert.Assert(t, f.appends <= min(n, maxAppends), "%d appends", f.appends)
 			assert.Assert(t, f.reads <= 3*n, "%d reads", f.reads)
-			assert.Assert(t, len(f.announcements) >= min(n, Introducers), "%d announced", len(f.announcements))
+			assert.Assert(t, len(f.announcements) >= min(n, MinAnnouncements), "%d announced", len(f.announcements))
 		})
 	}
 }
@@ -208,7 +208,7 @@
 func TestHerdIsBack(t *testing.T) {
 	const n = 985
 	f := newFleet(n, false)
-	for i := range Introducers {
+	for i := range MinAnnouncements {
 		f.put(f.hosts[20*i].name, f.now)
 	}
 	f.run(time.Second)
@@ -230,7 +230,7 @@
 	f.storeDown = false
 	f.run(time.Second/2 + 2*responseTime)
 	for _, h := range f.hosts {
-		assert.Assert(t, h.introducer.Read(), h.name)
+		assert.Assert(t, h.introducer.HasRead(), h.name)
 	}
 	f.run(2500 * time.Millisecond)
 	assert.Equal(t, f.countUncontacted(), 0)
@@ -250,7 +250,7 @@
 // TestIntroducersAreGone: hosts must announce themselves and get into contact if no announced host exists
 // any more.
 func TestIntroducersAreGone(t *testing.T) {
-	for _, gone := range []int{1, Introducers, 450} {
+	for _, gone := range []int{1, MinAnnouncements, 450} {
 		t.Run(fmt.Sprint(gone), func(t *testing.T) {
 			f := newFleet(gone+30, false)
 			for i := range gone {
@@ -267,7 +267,7 @@
 func TestAlone(t *testing.T) {
 	f := newFleet(1, false)
 	f.run(time.Second)
-	assert.Assert(t, f.hosts[0].introducer.Over())
+	assert.Assert(t, f.hosts[0].introducer.Done())
 	assert.Equal(t, f.appends, 1)
 	assert.Equal(t, f.reads, 2)
 }
--- a/keeper/index.go
+++ b/keeper/index.go
@@ -90,9 +90,9 @@
 	x.clearKept(id)
 }
 
-// Placed records that an upstream has computed a prompt. It inserts the last block and those at
+// AddPlacement records that an upstream has computed a prompt. It inserts the last block and those at
 // powers of two, so that lookups of prompts with a shared prefix find a match.
-func (x *Index) Placed(now time.Time, upstream string, c Chain) {
+func (x *Index) AddPlacement(now time.Time, upstream string, c Chain) {
 	id := x.ID(upstream)
 	n := c.Len()
 	if n == 0 {
@@ -104,8 +104,8 @@
 	x.insertHot(now, id, c.At(n-1))
 }
 
-// PlacedEnd records a placement by another host, which reports only the last block.
-func (x *Index) PlacedEnd(now time.Time, upstream string, end Name) {
+// AddPlacementEnd records a placement by another host, which reports only the last block.
+func (x *Index) AddPlacementEnd(now time.Time, upstream string, end Name) {
 	x.insertHot(now, x.ID(upstream), end)
 }
 
@@ -141,8 +141,8 @@
 	x.ringPos = (x.ringPos + 1) % len(x.ring)
 }
 
-// Kept is a stored segment as reported by an issuer.
-type Kept struct {
+// KeptSegment is a stored segment as reported by an issuer.
+type KeptSegment struct {
 	Upstream   string
 	Wire       [16]byte // Wire is the raw name of the last block.
 	Generation uint64
@@ -150,7 +150,7 @@
 }
 
 // SetKept adds or replaces a stored segment.
-func (x *Index) SetKept(k Kept) {
+func (x *Index) SetKept(k KeptSegment) {
 	id, name := x.ID(k.Upstream), shortName(k.Wire)
 	seg := keptSegment{upstream: id, generation: k.Generation, from: uint16(k.From), wire: k.Wire}
 	list := x.kept[name]
@@ -204,8 +204,8 @@
 	return keptSegment{}, false
 }
 
-// Refresh allows the stored segments of an upstream to be used until a time.
-func (x *Index) Refresh(upstream string, until time.Time) {
+// ExtendLease allows the stored segments of an upstream to be used until a time.
+func (x *Index) ExtendLease(upstream string, until time.Time) {
 	u := &x.upstreams[x.ID(upstream)]
 	if until.After(u.keptUntil) {
 		u.keptUntil = until
@@ -221,13 +221,13 @@
 
 // Lookup is the result of Index.Lookup. It may be reused.
 type Lookup struct {
-	Found []Match
-	Known int // Known is the number of leading blocks that some upstream has computed before.
+	Matches []Match
+	Known   int // Known is the number of leading blocks that some upstream has computed before.
 }
 
 // Lookup fills l with the matches for a prompt, the longest first.
 func (x *Index) Lookup(now time.Time, c Chain, l *Lookup) {
-	l.Found, l.Known = l.Found[:0], 0
+	l.Matches, l.Known = l.Matches[:0], 0
 	for i := c.Len() - 1; i >= 0; i-- {
 		name := c.At(i)
 		if e, ok := x.hot[name]; ok {
@@ -248,13 +248,13 @@
 }
 
 func (l *Lookup) addCached(id uint16, blocks int) {
-	for i := range l.Found {
-		if l.Found[i].Upstream == id {
-			l.Found[i].Cached = max(l.Found[i].Cached, blocks)
+	for i := range l.Matches {
+		if l.Matches[i].Upstream == id {
+			l.Matches[i].Cached = max(l.Matches[i].Cached, blocks)
 			return
 		}
 	}
-	l.Found = append(l.Found, Match{Upstream: id, Cached: blocks})
+	l.Matches = append(l.Matches, Match{Upstream: id, Cached: blocks})
 }
 
 // covers reports whether the stored segments of an upstream cover the first n blocks of a prompt.
@@ -270,13 +270,13 @@
 }
 
 func (l *Lookup) addKept(id uint16, blocks int) {
-	for i := range l.Found {
-		if l.Found[i].Upstream == id {
-			l.Found[i].Kept = max(l.Found[i].Kept, blocks)
+	for i := range l.Matches {
+		if l.Matches[i].Upstream == id {
+			l.Matches[i].Kept = max(l.Matches[i].Kept, blocks)
 			return
 		}
 	}
-	l.Found = append(l.Found, Match{Upstream: id, Kept: blocks})
+	l.Matches = append(l.Matches, Match{Upstream: id, Kept: blocks})
 }
 
 // Ref identifies a segment in an order to restore or to free it.
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -50,14 +50,14 @@
 	x := NewIndex(IndexOptions{})
 	c := NewChain("s", textOf(10, "c"))
 	longer := NewChain("s", textOf(14, "c"))
-	x.Placed(start, "a", c)
+	x.AddPlacement(start, "a", c)
 	var l Lookup
 	x.Lookup(start, longer, &l)
 	assert.Equal(t, l.Known, 10)
-	assert.DeepEqual(t, l.Found, []Match{{Upstream: x.ID("a"), Cached: 10}})
+	assert.DeepEqual(t, l.Matches, []Match{{Upstream: x.ID("a"), Cached: 10}})
 	x.Reset("a")
 	x.Lookup(start, longer, &l)
-	assert.Equal(t, len(l.Found), 0)
+	assert.Equal(t, len(l.Matches), 0)
 	assert.Equal(t, l.Known, 10) // Reset does not affect which blocks are known.
 }
 
@@ -66,24 +66,24 @@
 func TestKeptOnlyWhileTold(t *testing.T) {
 	x := NewIndex(IndexOptions{})
 	c := NewChain("s", textOf(10, "d"))
-	x.SetKept(Kept{Upstream: "a", Wire: c.Raw(3), Generation: 1, From: 0})
-	x.SetKept(Kept{Upstream: "a", Wire: c.Raw(7), Generation: 2, From: 4})
+	x.SetKept(KeptSegment{Upstream: "a", Wire: c.Raw(3), Generation: 1, From: 0})
+	x.SetKept(KeptSegment{Upstream: "a", Wire: c.Raw(7), Generation: 2, From: 4})
 	var l Lookup
 	x.Lookup(start, c, &l)
-	assert.Equal(t, len(l.Found), 0) // No lease was granted yet.
-	x.Refresh("a", start.Add(KeptLease))
+	assert.Equal(t, len(l.Matches), 0) // No lease was granted yet.
+	x.ExtendLease("a", start.Add(KeptLease))
 	x.Lookup(start, c, &l)
-	assert.DeepEqual(t, l.Found, []Match{{Upstream: x.ID("a"), Kept: 8}})
+	assert.DeepEqual(t, l.Matches, []Match{{Upstream: x.ID("a"), Kept: 8}})
 	refs := x.Segments(start, "a", c, 8)
 	assert.Equal(t, len(refs), 2)
 	assert.Equal(t, refs[0].Generation, uint64(1))
 	late := start.Add(KeptLease + 1)
 	x.Lookup(late, c, &l)
-	assert.Equal(t, len(l.Found), 0)
+	assert.Equal(t, len(l.Matches), 0)
 	assert.Assert(t, x.Segments(late, "a", c, 8) == nil)
 	x.RemoveKept("a", c.Raw(3))
 	x.Lookup(start, c, &l)
-	assert.Equal(t, len(l.Found), 0) // The preceding segment is missing.
+	assert.Equal(t, len(l.Matches), 0) // The preceding segment is missing.
 }
 
 // TestNoReferenceToFreed guards against references to freed segments by hosts that query late,
@@ -110,15 +110,15 @@
 				turn.Blocks = append(turn.Blocks, c.Raw(i))
 			}
 			chains[c.Raw(c.Len()-1)] = c
-			st.Turn(now, turn)
+			st.QueueTurn(now, turn)
 			plan := st.Tick(now)
 			for _, e := range plan.Export {
 				generation++
-				st.Sealed(now, e.Blocks[len(e.Blocks)-1], generation, len(e.Blocks), e.From, e.Parent)
+				st.SegmentReported(now, e.Blocks[len(e.Blocks)-1], generation, len(e.Blocks), e.From, e.Parent)
 			}
 			for _, r := range plan.Free {
 				freed[r.Wire] = r.Generation
-				st.Gone(r.Wire, r.Generation)
+				st.SegmentRemoved(r.Wire, r.Generation)
 			}
 			assert.Assert(t, st.Used() <= 40)
 			for _, h := range hosts {
@@ -139,7 +139,7 @@
 					}
 				}
 				h.version = st.Version()
-				h.index.Refresh("a", h.asked.Add(KeptLease))
+				h.index.ExtendLease("a", h.asked.Add(KeptLease))
 			}
 			for name, g := range freed {
 				for _, h := range hosts {
@@ -157,10 +157,10 @@
 func BenchmarkLookup(b *testing.B) {
 	x := NewIndex(IndexOptions{})
 	for i := range 10000 {
-		x.Placed(start, fmt.Sprint(i%22), NewChain("s", textOf(16, fmt.Sprint(i))))
+		x.AddPlacement(start, fmt.Sprint(i%22), NewChain("s", textOf(16, fmt.Sprint(i))))
 	}
 	c := NewChain("s", textOf(128, "x"))
-	x.Placed(start, "1", c)
+	x.AddPlacement(start, "1", c)
 	var l Lookup
 	b.ReportAllocs()
 	for b.Loop() {
@@ -192,7 +192,7 @@
 			for j := range wire {
 				wire[j] = byte(rng.Uint32())
 			}
-			x.SetKept(Kept{Upstream: fmt.Sprint(i % 22), Wire: wire, Generation: uint64(i)})
+			x.SetKept(KeptSegment{Upstream: fmt.Sprint(i % 22), Wire: wire, Generation: uint64(i)})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -40,9 +40,9 @@
 	MinChance   float64 // MinChance is the minimum Turn.Chance for an export; default 0.05.
 }
 
-// LongestWait bounds the time that a request waits at an upstream before its import begins. After
+// MaxImportWait bounds the time that a request waits at an upstream before its import begins. After
 // a longer wait the upstream computes the prompt instead.
-const LongestWait = 5 * time.Second
+const MaxImportWait = 5 * time.Second
 
 // maxDeliveryAndImport bounds the delivery of a request to an upstream plus the import.
 const maxDeliveryAndImport = 7 * time.Second
@@ -93,7 +93,7 @@
 type Change struct {
 	Version uint64
 	Removed bool
-	Kept    Kept
+	Kept    KeptSegment
 }
 
 // NewStore returns a Store without segments.
@@ -102,7 +102,7 @@
 		opts.ExportShare = 0.3
 	}
 	if opts.MaxReadTime == 0 {
-		opts.MaxReadTime = LongestWait + maxDeliveryAndImport
+		opts.MaxReadTime = MaxImportWait + maxDeliveryAndImport
 	}
 	if opts.MinChance == 0 {
 		opts.MinChance = 0.05
@@ -135,9 +135,9 @@
 // Version returns the version of the latest change.
 func (s *Store) Version() uint64 { return s.version }
 
-// Turn queues the blocks of a turn for export, unless they are stored already, the preceding
+// QueueTurn queues the blocks of a turn for export, unless they are stored already, the preceding
 // segment is not sealed, or a next turn is unlikely.
-func (s *Store) Turn(now time.Time, t Turn) {
+func (s *Store) QueueTurn(now time.Time, t Turn) {
 	if len(t.Blocks) == 0 || t.Chance < s.opts.MinChance || s.opts.Capacity == 0 {
 		return
 	}
@@ -309,9 +309,9 @@
 	return refs
 }
 
-// Sealed processes an upstream's report that a segment is complete. It adds a segment that is not
+// SegmentReported processes an upstream's report that a segment is complete. It adds a segment that is not
 // known, as after a change of the issuer.
-func (s *Store) Sealed(now time.Time, name [16]byte, generation uint64, blocks, from int, parent [16]byte) {
+func (s *Store) SegmentReported(now time.Time, name [16]byte, generation uint64, blocks, from int, parent [16]byte) {
 	seg := s.segments[name]
 	if seg == nil {
 		seg = &segment{blocks: blocks, from: from, parent: parent, chance: s.opts.MinChance, lastUsed: now}
@@ -329,8 +329,8 @@
 	s.recordChange(false, name, seg)
 }
 
-// Gone processes an upstream's report that a segment is not in its store any more.
-func (s *Store) Gone(name [16]byte, generation uint64) {
+// SegmentRemoved processes an upstream's report that a segment is not in its store any more.
+func (s *Store) SegmentRemoved(name [16]byte, generation uint64) {
 	seg := s.segments[name]
 	if seg == nil || seg.generation != generation {
 		return
@@ -362,7 +362,7 @@
 	s.changes = append(s.changes, Change{
 		Version: s.version,
 		Removed: removed,
-		Kept:    Kept{Wire: name, Generation: seg.generation, From: seg.from},
+		Kept:    KeptSegment{Wire: name, Generation: seg.generation, From: seg.from},
 	})
 	if len(s.changes) > maxChanges {
 		s.changes = append([]Change(nil), s.changes[len(s.changes)-maxChanges/2:]...)
@@ -375,7 +375,7 @@
 	if version > s.version || version < s.version && (len(s.changes) == 0 || s.changes[0].Version > version+1) {
 		for name, seg := range s.segments {
 			if seg.state == SegmentSealed {
-				changes = append(changes, Change{Version: s.version, Kept: Kept{Wire: name, Generation: seg.generation, From: seg.from}})
+				changes = append(changes, Change{Version: s.version, Kept: KeptSegment{Wire: name, Generation: seg.generation, From: seg.from}})
 			}
 		}
 		return changes, true
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -27,7 +27,7 @@
 	failure     zerolog.Logger
 	stateChange zerolog.Logger
 	omitted     atomic.Uint64 // omitted counts omitted lines.
-	reported    atomic.Uint64 // reported is the part of omitted that Account has logged.
+	reported    atomic.Uint64 // reported is the part of omitted that ReportOmitted has logged.
 }
 
 // New returns a logger at a zerolog level; an unknown level means info.
@@ -54,14 +54,14 @@
 // Failure begins a line about a request that failed or was late.
 func (l *Logger) Failure() *zerolog.Event { return l.failure.Info() }
 
-// Belief begins a line about a change in the known records or hosts.
-func (l *Logger) Belief() *zerolog.Event { return l.stateChange.Info() }
+// StateChange begins a line about a change in the known records or hosts.
+func (l *Logger) StateChange() *zerolog.Event { return l.stateChange.Info() }
 
-// LeftOut returns the number of omitted lines.
-func (l *Logger) LeftOut() uint64 { return l.omitted.Load() }
+// Omitted returns the number of omitted lines.
+func (l *Logger) Omitted() uint64 { return l.omitted.Load() }
 
-// Account logs the number of lines omitted since its last call, if any.
-func (l *Logger) Account() {
+// ReportOmitted logs the number of lines omitted since its last call, if any.
+func (l *Logger) ReportOmitted() {
 	left := l.omitted.Load()
 	if n := left - l.reported.Swap(left); n > 0 {
 		l.Info().Uint64("Lines", n).Msg(LinesLeftOut)
--- a/messenger/message_test.go
+++ b/messenger/message_test.go
@@ -21,7 +21,7 @@
 // FuzzDecode: arbitrary bytes must not panic, and a decoded message must survive another round trip.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(&Message{Digest: 1, Hosts: []tracker.HostRecord{{Host: "a"}}, Claims: []claimer.Message{{Range: 1, Request: &claimer.Request{Nonce: "n"}}}}))
-	f.Add(Encode(&Message{EndedDigest: 7, Ended: []quarantiner.Word{{Identity: quarantiner.Identity{1, 2}, Ends: []string{"a@b"}, Cleared: []string{"c"}, Age: time.Second}}}))
+	f.Add(Encode(&Message{EndedDigest: 7, Ended: []quarantiner.Entry{{Identity: quarantiner.Identity{1, 2}, Ends: []string{"a@b"}, Cleared: []string{"c"}, Age: time.Second}}}))
 	f.Add([]byte{0xa1, 0x02, 0x9b, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0x9f})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -40,7 +40,7 @@
 	got = make(chan *Message, 1)
 	to := New(Options{Self: Hello{Host: "b"}, Secret: []byte(secrets[1]), Receive: func(_ string, m *Message) { got <- m }, Log: zerolog.Nop()})
 	srv := httptest.NewServer(to.Handler())
-	from = New(Options{Self: Hello{Host: "a"}, Secret: []byte(secrets[0]), Up: func(string, string) {}, Log: zerolog.Nop()})
+	from = New(Options{Self: Hello{Host: "a"}, Secret: []byte(secrets[0]), OnConnect: func(string, string) {}, Log: zerolog.Nop()})
 	t.Cleanup(func() {
 		from.Close()
 		to.Close()
--- a/placer/apart.go
+++ b/placer/apart.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// Apart asks for isolation of a request that may crash the upstream that runs it.
-type Apart struct {
-	Key  uint64   // Key identifies the request; all copies have the same key at every host.
-	Ends []string // Ends are the upstream instances that ended while they ran it.
+// Isolation asks for isolation of a request that may crash the upstream that runs it.
+type Isolation struct {
+	Key            uint64   // Key identifies the request; all copies have the same key at every host.
+	EndedInstances []string // EndedInstances are the upstream instances that ended while they ran it.
 }
 
 // requested reports whether isolation is asked for.
-func (a *Apart) requested() bool { return len(a.Ends) > 0 }
+func (a *Isolation) requested() bool { return len(a.EndedInstances) > 0 }
 
 // chooseIsolated chooses the upstream of a request that asks for isolation: by rendezvous rank,
 // which is the same at all hosts and differs between requests, instead of by cost. Copies of a
 // crashing request then meet at one upstream, and requests that are suspects only because they ran
 // beside it go elsewhere.
-func (p *Placer) chooseIsolated(now time.Time, ask *Ask) (*target, time.Duration, Verdict) {
+func (p *Placer) chooseIsolated(now time.Time, req *PlacementRequest) (*target, time.Duration, Verdict) {
 	var first, rest shortlist
 	var maxRank uint64
-	for _, m := range p.pools[ask.Service].all {
+	for _, m := range p.pools[req.Service].all {
 		t := p.targetOf(m)
-		if !p.eligible(t, ask) || slices.Contains(ask.Apart.Ends, t.instance) {
+		if !p.eligible(t, req) || slices.Contains(req.Isolation.EndedInstances, t.instance) {
 			continue
 		}
 		var single shortlist
-		p.consider(now, t, ask, &single)
-		rank := rendezvous(PartKey(ask.Apart.Key), t.hash)
+		p.consider(now, t, req, &single)
+		rank := rendezvous(PartKey(req.Isolation.Key), t.hash)
 		switch {
 		case single.best == nil:
-			p.consider(now, t, ask, &rest)
+			p.consider(now, t, req, &rest)
 		case first.best == nil || rank > maxRank:
 			first, maxRank = single, rank
 		}
 	}
 	if first.best != nil {
-		return p.pick(&first, ask)
+		return p.pick(&first, req)
 	}
-	return p.pick(&rest, ask)
+	return p.pick(&rest, req)
 }
--- a/placer/candidates_test.go
+++ b/placer/candidates_test.go
@@ -34,9 +34,9 @@
 	for _, n := range []int{300, 10000} {
 		p := zonePlacer(n)
 		for i := range 200 {
-			ask := askFor(fmt.Sprint("shared", i%3), fmt.Sprint("own", i))
-			ask.now, ask.round = start, 1
-			got := len(p.candidates(p.pools["engines"], ask))
+			req := askFor(fmt.Sprint("shared", i%3), fmt.Sprint("own", i))
+			req.now, req.round = start, 1
+			got := len(p.candidates(p.pools["engines"], req))
 			assert.Assert(t, got <= most, "%d candidates among %d", got, n)
 			c, _ := p.Choose(start, askFor(fmt.Sprint("shared", i%3), fmt.Sprint("own", i)))
 			serve(p, start, c)
@@ -57,12 +57,12 @@
 			work[id] = Work{Requests: 4, Pending: 20000, Memory: 40000}
 		}
 	}
-	p.Heard(start, "peer", Report{Work: work})
+	p.ApplyReport(start, "peer", Report{Work: work})
 	for i := range 2000 {
 		c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i)))
 		assert.Equal(t, verdict, Chosen)
-		assert.Assert(t, work[c.Upstream.Start()].Requests == 0, c.Upstream.ID)
-		assert.Assert(t, c.Basis.Missing <= 4000, "%d tokens are prefilled again", c.Basis.Missing)
+		assert.Assert(t, work[c.Upstream.InstanceID()].Requests == 0, c.Upstream.ID)
+		assert.Assert(t, c.Basis.PrefillTokens <= 4000, "%d tokens are prefilled again", c.Basis.PrefillTokens)
 		c.Ticket.Done(start, ResultServed)
 	}
 }
@@ -81,16 +81,16 @@
 		}
 		return work
 	}
-	p.Heard(start, "peer", Report{Work: full(0)})
+	p.ApplyReport(start, "peer", Report{Work: full(0)})
 	_, verdict := p.Choose(start, askFor("shared", "own"))
 	assert.Equal(t, verdict, Busy)
-	p.Heard(start, "peer", Report{Work: full(5)})
+	p.ApplyReport(start, "peer", Report{Work: full(5)})
 	const tries = 200
 	chosen := 0
 	for i := range tries {
 		if c, verdict := p.Choose(start, askFor("shared", fmt.Sprint("own", i))); verdict == Chosen {
 			chosen++
-			c.Ticket.Done(start, ResultCaller)
+			c.Ticket.Done(start, ResultCallerGone)
 		}
 	}
 	assert.Equal(t, chosen, tries)
@@ -138,7 +138,7 @@
 	}
 	for service, pl := range p.pools {
 		want := make(map[string]bool)
-		for _, id := range v.Taking(service) {
+		for _, id := range v.Accepting(service) {
 			want[id] = true
 		}
 		assert.Equal(t, len(pl.all), len(want))
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -34,8 +34,8 @@
 	return p
 }
 
-func shortAsk(n int) *Ask {
-	return &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{fmt.Sprint("shared", n), 5}, {"own", 8}}}}
+func shortRequest(n int) *PlacementRequest {
+	return &PlacementRequest{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{fmt.Sprint("shared", n), 5}, {"own", 8}}}}
 }
 
 // hostNames returns the names of the hosts in [from, to), or of one host if only from is given.
@@ -72,7 +72,7 @@
 			for _, g := range c.Groups {
 				for _, name := range hostNames(g.Hosts) {
 					p := coldPlacer(name, v)
-					p.SetSharers(hostNames(g.Count))
+					p.SetColdHosts(hostNames(g.Count))
 					placers = append(placers, p)
 				}
 			}
@@ -80,7 +80,7 @@
 			var sent []time.Time
 			for now := start; now.Before(start.Add(length)); now = now.Add(10 * time.Millisecond) {
 				for i, p := range placers {
-					if _, verdict := p.Choose(now, shortAsk(i)); verdict == Chosen {
+					if _, verdict := p.Choose(now, shortRequest(i)); verdict == Chosen {
 						sent = append(sent, now)
 					}
 				}
@@ -108,7 +108,7 @@
 func countChosen(p *Placer, now time.Time) int {
 	n := 0
 	for n < 100 {
-		if _, verdict := p.Choose(now, shortAsk(n)); verdict != Chosen {
+		if _, verdict := p.Choose(now, shortRequest(n)); verdict != Chosen {
 			return n
 		}
 		n++
@@ -122,7 +122,7 @@
 	fresh := func() (*follower.View, *Placer) {
 		v := coldView(1)
 		p := coldPlacer("host0", v)
-		p.SetSharers([]string{"host0"})
+		p.SetColdHosts([]string{"host0"})
 		return v, p
 	}
 	part := ColdLimit{Overage: 1.5, Slack: 5}.perSecond(20)
@@ -137,14 +137,14 @@
 
 	v, p = fresh()
 	returned := *v
-	returned.Returned = map[string]time.Time{"zone0": start}
+	returned.EvacuationsEnded = map[string]time.Time{"zone0": start}
 	p.Update(&returned)
 	assert.Equal(t, countChosen(p, start.Add(2*time.Second)), part)
 	assert.Equal(t, countChosen(p, start.Add(3*time.Second)), 100)
 
 	_, p = fresh()
 	c, _ := p.Choose(start, askFor("x", "own"))
-	c.Ticket.Done(start, ResultUnreached)
+	c.Ticket.Done(start, ResultUnreachable)
 	now := start.Add(initialBackoff)
 	c, verdict := p.Choose(now, askFor("x", "own"))
 	assert.Equal(t, verdict, Chosen)
@@ -157,7 +157,7 @@
 func TestWarmEnginesArePreferred(t *testing.T) {
 	v := changeFirst(coldView(2), func(u *follower.Upstream) { u.ColdUntil = start.Add(time.Hour) })
 	p := coldPlacer("host0", v)
-	p.SetSharers([]string{"host0"})
+	p.SetColdHosts([]string{"host0"})
 	first, _ := p.Choose(start, askFor("x", "own"))
 	assert.Equal(t, first.Upstream.ID, "e1")
 	second, _ := p.Choose(start, askFor("y", "own"))
--- a/placer/exchange.go
+++ b/placer/exchange.go
@@ -23,7 +23,7 @@
 
 // Placement reports that an engine has prefilled a part.
 type Placement struct {
-	// Upstream is the engine's instance, as returned by follower.Upstream.Start.
+	// Upstream is the engine's instance, as returned by follower.Upstream.InstanceID.
 	Upstream string  `cbor:"1,keyasint"`
 	Key      PartKey `cbor:"2,keyasint"`
 	Tokens   int     `cbor:"3,keyasint"`
@@ -113,8 +113,8 @@
 	return p.opts.Waiting()
 }
 
-// Kept returns all parts that engines are believed to cache, for a host that has just started.
-func (p *Placer) Kept() []Placement {
+// Placements returns all parts that engines are believed to cache, for a host that has just started.
+func (p *Placer) Placements() []Placement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []Placement
@@ -126,8 +126,8 @@
 	return out
 }
 
-// Heard applies the report of another host.
-func (p *Placer) Heard(now time.Time, host string, r Report) {
+// ApplyReport applies the report of another host.
+func (p *Placer) ApplyReport(now time.Time, host string, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r.Work != nil { // a report without work has only placements
@@ -239,9 +239,9 @@
 	}
 }
 
-// Forget drops the reports of hosts that have not reported lately, and prefills that should have
+// ExpireReports drops the reports of hosts that have not reported lately, and prefills that should have
 // ended.
-func (p *Placer) Forget(now time.Time) {
+func (p *Placer) ExpireReports(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for host, w := range p.peers {
--- a/placer/home_test.go
+++ b/placer/home_test.go
@@ -28,13 +28,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := New(Options{Regions: map[string]string{"east": "r-east", "west": "r-west"}})
 			p.Update(v)
-			p.Trust(start)
-			p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 5_000_000})
+			p.SetFeedCurrent(start)
+			p.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, Clock: 5_000_000})
 			seen := make(map[string]bool)
 			for i := range 40 {
-				ask := askFor(fmt.Sprint("x", i), "own")
-				ask.Homes = c.homes
-				got, verdict := p.Choose(start, ask)
+				req := askFor(fmt.Sprint("x", i), "own")
+				req.Regions = c.homes
+				got, verdict := p.Choose(start, req)
 				assert.Equal(t, verdict == Chosen, len(c.zones) > 0)
 				if verdict != Chosen {
 					return
@@ -42,7 +42,7 @@
 				// The stores of testView are in no region.
 				assert.Assert(t, got.Save == nil || c.name == "none")
 				seen[got.Upstream.AvailabilityZone] = true
-				serve(p, start.Add(firstTokenTime+got.Basis.Reading), got)
+				serve(p, start.Add(firstTokenTime+got.Basis.PrefillTime), got)
 			}
 			for _, zone := range c.zones {
 				assert.Assert(t, seen[zone], zone)
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -28,11 +28,11 @@
 	WeightsWithin time.Duration
 	Cold          ColdLimit // Cold limits what all hosts together send to a cold upstream.
 	Seed          uint64    // Seed is the seed of random sampling; it must differ between hosts.
-	// Eased is called, if set, when an upstream may have more room than before. It must not block.
-	Eased func()
-	// Urgent is called, if set, when other hosts should get a report of a long prompt at once. It
+	// OnRoom is called, if set, when an upstream may have more room than before. It must not block.
+	OnRoom func()
+	// OnUrgent is called, if set, when other hosts should get a report of a long prompt at once. It
 	// must not block.
-	Urgent func()
+	OnUrgent func()
 }
 
 // urgentTokens is the prefill from which a request is reported to other hosts at once, so that they
@@ -67,7 +67,7 @@
 	samples       []PaceSample         // samples are queued for the next report.
 	transfers     []Transfer           // transfers are queued for the next report.
 	placements    []Placement          // placements are queued for the next report.
-	named         map[string]follower.Named
+	named         map[string]follower.VersionHistory
 	newest        map[string]uint64    // newest is the newest weight version that any engine has of a model.
 	zoneReturns   map[string]time.Time // zoneReturns is when evacuated availability zones took traffic again.
 	coldHosts     coldHosts
@@ -121,7 +121,7 @@
 	defer p.mu.Unlock()
 	before := p.view
 	p.view = view
-	p.named, p.zoneReturns = view.Named, view.Returned
+	p.named, p.zoneReturns = view.Versions, view.EvacuationsEnded
 	put, gone := view.Upstreams.Since(before.Upstreams)
 	for _, u := range put {
 		callbacks = append(callbacks, p.put(view, u)...)
@@ -136,7 +136,7 @@
 	}
 	if !maps.Equal(view.Evacuated, before.Evacuated) {
 		for _, m := range p.members {
-			p.setListed(m, view.Takes(m.upstream))
+			p.setListed(m, view.Accepts(m.upstream))
 		}
 	}
 	p.updateStores(view)
@@ -147,7 +147,7 @@
 // put applies an upstream that is new or has changed, and returns the callbacks of requests in
 // flight at an earlier instance.
 func (p *Placer) put(view *follower.View, u *follower.Upstream) (callbacks []func()) {
-	instance := u.Start()
+	instance := u.InstanceID()
 	m := p.members[u.ID]
 	if m != nil && m.instance != instance {
 		if m.target != nil {
@@ -164,7 +164,7 @@
 		p.setListed(m, false)
 	}
 	m.upstream, m.sameZone = u, u.AvailabilityZone == p.opts.AvailabilityZone
-	p.setListed(m, view.Takes(u))
+	p.setListed(m, view.Accepts(u))
 	if m.target != nil {
 		p.configure(m.target)
 	}
@@ -238,8 +238,8 @@
 	p.assignCells()
 }
 
-// Busy returns the number of requests in flight at an upstream instance, of all hosts.
-func (p *Placer) Busy(instance string) int {
+// InFlight returns the number of requests in flight at an upstream instance, of all hosts.
+func (p *Placer) InFlight(instance string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t := p.targets[instance]; t != nil {
@@ -248,8 +248,8 @@
 	return 0
 }
 
-// Renewing sets the engines that load weights now or will soon.
-func (p *Placer) Renewing(phases map[string]renewer.Phase) {
+// SetPhases sets the engines that load weights now or will soon.
+func (p *Placer) SetPhases(phases map[string]renewer.Phase) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.phases {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -27,7 +27,7 @@
 			{Name: "s1", Store: &matcher.Store{Address: "s1:1", CapacityTokens: 100000, LinkMbps: 50000}},
 			{Name: "s2", Store: &matcher.Store{Address: "s2:1", CapacityTokens: 100000, LinkMbps: 50000}},
 		}}),
-		Named: map[string]follower.Named{"m": {Version: named, Since: start.Add(-3 * time.Second)}},
+		Versions: map[string]follower.VersionHistory{"m": {Version: named, Since: start.Add(-3 * time.Second)}},
 	}
 	var upstreams []follower.Upstream
 	for i := range n {
@@ -72,9 +72,9 @@
 func testPlacer(v *follower.View) *Placer {
 	p := New(Options{})
 	p.Update(v)
-	p.Trust(start)
+	p.SetFeedCurrent(start)
 	for _, a := range []string{"s1:1", "s2:1"} {
-		p.StoreHeard(start, a, StoreNews{Epoch: 1, Clock: 5_000_000})
+		p.ApplyStoreChanges(start, a, StoreChanges{Epoch: 1, Clock: 5_000_000})
 	}
 	return p
 }
@@ -83,8 +83,8 @@
 	return func(w uint64) string { return Salt{Model: "m", Weights: w, Workspace: workspace}.String() }
 }
 
-func askFor(shared string, own string) *Ask {
-	return &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Output: 20, Parts: []Part{{shared, 12800}, {own, 4000}}}}
+func askFor(shared string, own string) *PlacementRequest {
+	return &PlacementRequest{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Output: 20, Parts: []Part{{shared, 12800}, {own, 4000}}}}
 }
 
 func serve(p *Placer, now time.Time, c Choice) {
@@ -101,7 +101,7 @@
 		used[c.Upstream.ID]++
 	}
 	assert.Equal(t, len(used), 6, "%v", used)
-	short := &Ask{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}}
+	short := &PlacementRequest{Service: "engines", SaltOf: saltOf(""), Prompt: &Prompt{Model: "m", Parts: []Part{{"x", 50}, {"y", 80}}}}
 	p.targetByInstance("e3").own = Work{}
 	c, _ := p.Choose(start, short)
 	assert.Equal(t, c.Upstream.ID, "e3") // the only idle engine
@@ -111,13 +111,13 @@
 func TestPeerWorkCounts(t *testing.T) {
 	a, b := testPlacer(testView(2, 1)), testPlacer(testView(2, 1))
 	c, _ := a.Choose(start, askFor("x", "own"))
-	b.Heard(start, "a", a.Report())
+	b.ApplyReport(start, "a", a.Report())
 	d, _ := b.Choose(start, askFor("y", "own"))
 	assert.Assert(t, c.Upstream.ID != d.Upstream.ID)
 	d.Ticket.Done(start, ResultServed)
-	assert.Equal(t, b.Busy(c.Upstream.ID), 1)
-	b.Forget(start.Add(2 * peerReportTTL))
-	assert.Equal(t, b.Busy(c.Upstream.ID), 0)
+	assert.Equal(t, b.InFlight(c.Upstream.ID), 1)
+	b.ExpireReports(start.Add(2 * peerReportTTL))
+	assert.Equal(t, b.InFlight(c.Upstream.ID), 0)
 }
 
 func TestCachedPartsAreFetchedFromEngine(t *testing.T) {
@@ -129,7 +129,7 @@
 	c, _ := p.Choose(start, askFor("x", "own2"))
 	assert.Assert(t, c.Upstream.ID != first.Upstream.ID)
 	assert.DeepEqual(t, c.Fetch, []string{first.Upstream.Address, ""})
-	assert.Equal(t, c.Basis.Missing, 4000)
+	assert.Equal(t, c.Basis.PrefillTokens, 4000)
 }
 
 func TestPartsAreSavedOnceAndFetchedFromStores(t *testing.T) {
@@ -137,7 +137,7 @@
 	choose := func(now time.Time) Choice {
 		c, verdict := p.Choose(now, askFor("x", "own"))
 		assert.Equal(t, verdict, Chosen)
-		c.Ticket.Done(now, ResultCaller) // the caller leaves before the prefill
+		c.Ticket.Done(now, ResultCallerGone) // the caller leaves before the prefill
 		return c
 	}
 	c := choose(start)
@@ -151,16 +151,16 @@
 	assert.Assert(t, again.Fetch == nil, "a part that the store has not reported is not fetched")
 
 	name := PartName{Salt: saltOf("")(1), ID: "x"}
-	p.StoreHeard(start, store, StoreNews{Epoch: 1, Clock: 5_000_000, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
+	p.ApplyStoreChanges(start, store, StoreChanges{Epoch: 1, Clock: 5_000_000, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
 	got := choose(start)
 	assert.DeepEqual(t, got.Fetch, []string{store, ""})
-	assert.Equal(t, got.Until, 5_000_000+maxFetchTime.Milliseconds())
+	assert.Equal(t, got.FetchDeadline, 5_000_000+maxFetchTime.Milliseconds())
 
 	late := start.Add(p.replacedLifetime() + time.Second)
 	got = choose(late)
 	assert.Assert(t, got.Fetch == nil, "a host without a current feed fetches from no store")
 
-	p.StoreHeard(start, store, StoreNews{Epoch: 2, Clock: 5_000_000}) // the store has restarted
+	p.ApplyStoreChanges(start, store, StoreChanges{Epoch: 2, Clock: 5_000_000}) // the store has restarted
 	got = choose(start)
 	assert.Assert(t, got.Fetch == nil)
 }
@@ -170,7 +170,7 @@
 func TestReplacedWeights(t *testing.T) {
 	p := testPlacer(testView(1, 2, 1))
 	old := PartName{Salt: saltOf("")(1), ID: "x"}
-	p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
+	p.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
 	c, _ := p.Choose(start, askFor("x", "own"))
 	assert.Equal(t, c.Weights, uint64(1))
 	assert.Assert(t, c.Fetch == nil && c.Save == nil)
@@ -178,17 +178,17 @@
 		s, ok := ParseSalt(text)
 		return !ok || s.Weights >= 2
 	})
-	assert.DeepEqual(t, freed, []Freed{{Address: "s1:1", Epoch: 1, Parts: []PartName{old}}})
+	assert.DeepEqual(t, freed, []UnusedParts{{Address: "s1:1", Epoch: 1, Parts: []PartName{old}}})
 }
 
 func TestRenewedEnginesArePreferred(t *testing.T) {
 	p := testPlacer(testView(3, 2, 1, 2, 1))
-	ask := askFor("x", "own")
-	c, _ := p.Choose(start, ask)
+	req := askFor("x", "own")
+	c, _ := p.Choose(start, req)
 	assert.Equal(t, c.Upstream.ID, "e1")
-	p.Renewing(map[string]renewer.Phase{"e1": renewer.PhaseNext})
+	p.SetPhases(map[string]renewer.Phase{"e1": renewer.PhaseNext})
 	p.targetByInstance("e1").own = Work{}
-	c, _ = p.Choose(start, ask)
+	c, _ = p.Choose(start, req)
 	assert.Assert(t, c.Upstream.ID != "e1")
 }
 
@@ -200,11 +200,11 @@
 		state.Apply(start.Add(time.Duration(i-2)*9*time.Second), follower.Change{Weights: &follower.Weights{Model: "m", Version: v}}, int64(i))
 	}
 	v := testView(2, 3, 1, 2)
-	v.Named = state.View().Named
+	v.Versions = state.View().Versions
 	p := testPlacer(v)
 	p.targetByInstance("e1").own.Pending = 100000 // the engine with the newer weights has a long backlog
-	ask := askFor("x", "own")
-	c, _ := p.Choose(start, ask)
+	req := askFor("x", "own")
+	c, _ := p.Choose(start, req)
 	assert.Equal(t, c.Upstream.ID, "e1")
 }
 
@@ -213,20 +213,20 @@
 	p := testPlacer(testView(2, 1))
 	open, _ := p.Choose(start, askFor("x", "own"))
 	serve(p, start, open)
-	ask := askFor("x", "own")
-	ask.SaltOf = saltOf("w")
-	c, _ := p.Choose(start, ask)
+	req := askFor("x", "own")
+	req.SaltOf = saltOf("w")
+	c, _ := p.Choose(start, req)
 	assert.Assert(t, c.Fetch == nil)
-	assert.Equal(t, c.Basis.Missing, 16800)
+	assert.Equal(t, c.Basis.PrefillTokens, 16800)
 }
 
 func TestUnreachableUpstreamsBackOff(t *testing.T) {
 	p := testPlacer(testView(0, 1))
-	ask := &Ask{Service: "plain"}
-	c, _ := p.Choose(start, ask)
-	c.Ticket.Done(start, ResultUnreached)
+	req := &PlacementRequest{Service: "plain"}
+	c, _ := p.Choose(start, req)
+	c.Ticket.Done(start, ResultUnreachable)
 	for range 5 {
-		d, verdict := p.Choose(start, ask)
+		d, verdict := p.Choose(start, req)
 		assert.Assert(t, verdict == Chosen && d.Upstream.ID != c.Upstream.ID)
 	}
 	for _, tg := range p.targets {
@@ -234,9 +234,9 @@
 	}
 	later := start.Add(initialBackoff)
 	p.targetByInstance(c.Upstream.ID).failureRate = 0
-	one, _ := p.Choose(later, &Ask{Service: "plain", Exclude: []string{otherPlain(c.Upstream.ID)}})
+	one, _ := p.Choose(later, &PlacementRequest{Service: "plain", Exclude: []string{otherPlain(c.Upstream.ID)}})
 	assert.Equal(t, one.Upstream.ID, c.Upstream.ID) // one request probes it
-	two, _ := p.Choose(later, ask)
+	two, _ := p.Choose(later, req)
 	assert.Equal(t, two.Upstream.ID, otherPlain(c.Upstream.ID)) // no other request goes there until the probe has ended
 }
 
@@ -247,35 +247,35 @@
 func TestSlowStoreIsAvoided(t *testing.T) {
 	p := testPlacer(testView(2, 1))
 	name := PartName{Salt: saltOf("")(1), ID: "x"}
-	p.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
+	p.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: name, Tokens: 12800}}})
 	for range 10 {
-		p.Heard(start, "a", Report{Transfers: []Transfer{{Store: "s1:1", Tokens: 12800, Took: 3 * time.Second}}})
+		p.ApplyReport(start, "a", Report{Transfers: []Transfer{{Store: "s1:1", Tokens: 12800, Took: 3 * time.Second}}})
 	}
 	c, _ := p.Choose(start, askFor("x", "own"))
 	assert.Assert(t, c.Fetch == nil)
-	c.Ticket.Done(start, ResultCaller)
+	c.Ticket.Done(start, ResultCallerGone)
 	later := start.Add(time.Second)
-	p.Trust(later.Add(30 * time.Second))
+	p.SetFeedCurrent(later.Add(30 * time.Second))
 	c, _ = p.Choose(later.Add(30*time.Second), askFor("x", "own"))
 	assert.Assert(t, c.Fetch != nil, "a slow store is tried again later")
 }
 
-// TestGapsInStoreNews checks that a host that lacks earlier changes of a store asks for a full
+// TestGapsInStoreChanges checks that a host that lacks earlier changes of a store asks for a full
 // report and is complete with it.
-func TestGapsInStoreNews(t *testing.T) {
+func TestGapsInStoreChanges(t *testing.T) {
 	part := func(id string) StoreChange { return StoreChange{Part: PartName{Salt: "s", ID: id}, Tokens: 10} }
 	asker, p := testPlacer(testView(1, 1)), testPlacer(testView(1, 1))
-	asker.StoreHeard(start, "s1:1", StoreNews{Epoch: 1, From: 0, Next: 1, Changes: []StoreChange{part("a")}})
-	later := StoreNews{Epoch: 1, From: 1, Next: 2, Changes: []StoreChange{part("b")}}
-	asker.StoreHeard(start, "s1:1", later)
-	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", News: later}))
+	asker.ApplyStoreChanges(start, "s1:1", StoreChanges{Epoch: 1, From: 0, Next: 1, Changes: []StoreChange{part("a")}})
+	later := StoreChanges{Epoch: 1, From: 1, Next: 2, Changes: []StoreChange{part("b")}}
+	asker.ApplyStoreChanges(start, "s1:1", later)
+	assert.Assert(t, !p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Changes: later}))
 	for _, r := range asker.StoreReports() {
-		assert.Assert(t, p.StoreTold(start, r))
+		assert.Assert(t, p.ApplyStoreReport(start, r))
 	}
 	assert.Equal(t, len(p.stores["s1:1"].held), 2)
-	assert.Assert(t, p.StoreTold(start, StoreReport{Address: "s1:1", News: StoreNews{Epoch: 1, From: 2, Next: 2}}))
-	assert.Assert(t, !p.StoreTold(start, StoreReport{Address: "s1:1", News: StoreNews{Epoch: 9, From: 5, Next: 6}}), "the store has restarted")
-	p.StoreTold(start, StoreReport{Address: "s1:1", Lost: true})
+	assert.Assert(t, p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 1, From: 2, Next: 2}}))
+	assert.Assert(t, !p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Changes: StoreChanges{Epoch: 9, From: 5, Next: 6}}), "the store has restarted")
+	p.ApplyStoreReport(start, StoreReport{Address: "s1:1", Down: true})
 	assert.Assert(t, !p.stores["s1:1"].up)
 }
 
--- a/placer/pool.go
+++ b/placer/pool.go
@@ -13,7 +13,7 @@
 // member is a known upstream without load state. Load state takes much more memory and is created
 // on first use, since some hosts never need most of it.
 type member struct {
-	// instance identifies this start of the upstream, as returned by follower.Upstream.Start.
+	// instance identifies this start of the upstream, as returned by follower.Upstream.InstanceID.
 	instance  string
 	upstream  *follower.Upstream
 	hash      uint64
@@ -150,7 +150,7 @@
 	if t := p.targets[instance]; t != nil {
 		return t
 	}
-	for _, id := range []string{follower.IDOf(instance), instance} {
+	for _, id := range []string{follower.UpstreamID(instance), instance} {
 		if m := p.members[id]; m != nil && m.instance == instance {
 			return p.targetOf(m)
 		}
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -42,7 +42,7 @@
 			}
 			if !c.started {
 				name(start.Add(-time.Hour), 1)
-				state.Current(start.Add(c.known))
+				state.SetCurrent(start.Add(c.known))
 			}
 			fetched := false
 			for at := time.Duration(0); at < 2*freeAfter; at += step {
@@ -51,12 +51,12 @@
 				if at >= c.learns {
 					name(now, 2)
 				}
-				v.Named = state.View().Named
+				v.Versions = state.View().Versions
 				p := testPlacer(v)
-				p.StoreHeard(now, "s1:1", StoreNews{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
-				p.Trust(start.Add(c.known))
+				p.ApplyStoreChanges(now, "s1:1", StoreChanges{Epoch: 1, Clock: 1, Changes: []StoreChange{{Part: old, Tokens: 12800}}})
+				p.SetFeedCurrent(start.Add(c.known))
 				if at >= c.learns {
-					p.Trust(now)
+					p.SetFeedCurrent(now)
 				}
 				got, verdict := p.Choose(now, askFor("x", "own"))
 				assert.Equal(t, verdict, Chosen)
@@ -88,7 +88,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			v := testView(2, 2, 1, c.renewed)
-			v.Named = map[string]follower.Named{"m": {Version: 2, Since: start.Add(-c.age)}}
+			v.Versions = map[string]follower.VersionHistory{"m": {Version: 2, Since: start.Add(-c.age)}}
 			p := testPlacer(v)
 			if c.busy {
 				p.targetByInstance("e1").peers = Work{Requests: 4, Memory: 59000}
@@ -117,7 +117,7 @@
 	} {
 		t.Run(fmt.Sprint(c.phase, " busy ", c.busy), func(t *testing.T) {
 			p := testPlacer(testView(2, 1))
-			p.Renewing(map[string]renewer.Phase{"e0": c.phase})
+			p.SetPhases(map[string]renewer.Phase{"e0": c.phase})
 			if c.busy {
 				p.targetByInstance("e1").peers = Work{Requests: 4, Memory: 59000}
 			}
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -20,23 +20,23 @@
 	first, _ := p.Choose(start, askFor("shared", "own"))
 	serve(p, start, first)
 	open, _ := p.Choose(start, askFor("shared", "own2"))
-	assert.Equal(t, open.Basis.Missing, 4000)
+	assert.Equal(t, open.Basis.PrefillTokens, 4000)
 	callbacks := 0
 	open.Ticket.OnSilent(func() { callbacks++ })
 	former := p.members["e0"].instance
 
 	p.Update(changeFirst(v, func(u *follower.Upstream) { u.Born = 200 }))
 	assert.Equal(t, callbacks, 1)
-	assert.Equal(t, p.Busy(p.members["e0"].instance), 0)
+	assert.Equal(t, p.InFlight(p.members["e0"].instance), 0)
 
-	p.Heard(start, "peer", Report{
+	p.ApplyReport(start, "peer", Report{
 		Work:   map[string]Work{former: {Requests: 3, Memory: 50000}},
 		Placed: []Placement{{Upstream: former, Key: keysOf(nil, saltOf("")(1), []Part{{ID: "shared"}})[0], Tokens: 12800}},
 	})
 	open.Ticket.Done(start, ResultFailed) // must not change the work of the new instance
 	again, verdict := p.Choose(start, askFor("shared", "own3"))
 	assert.Equal(t, verdict, Chosen)
-	assert.Equal(t, again.Basis.Missing, 16800)
+	assert.Equal(t, again.Basis.PrefillTokens, 16800)
 	assert.Equal(t, again.Basis.Work, Work{})
 	assert.Equal(t, p.Report().Work[p.members["e0"].instance].Requests, 1)
 	assert.Equal(t, len(p.Changes().Work), 0)
--- a/placer/store.go
+++ b/placer/store.go
@@ -76,8 +76,8 @@
 	Dropped bool     `cbor:"3,keyasint,omitempty"`
 }
 
-// StoreNews is a store's list of changes.
-type StoreNews struct {
+// StoreChanges is a store's list of changes.
+type StoreChanges struct {
 	Epoch int64 `cbor:"1,keyasint"` // Epoch changes when the store restarts.
 	// Clock is the time on the upstreams' clock, in milliseconds.
 	Clock int64 `cbor:"2,keyasint"`
@@ -91,26 +91,26 @@
 
 // StoreReport is what a host sends to the others about a store.
 type StoreReport struct {
-	Address string    `cbor:"1,keyasint"`
-	Lost    bool      `cbor:"2,keyasint,omitempty"` // Lost reports that the store does not answer.
-	News    StoreNews `cbor:"3,keyasint,omitempty"`
+	Address string       `cbor:"1,keyasint"`
+	Down    bool         `cbor:"2,keyasint,omitempty"` // Down reports that the store does not answer.
+	Changes StoreChanges `cbor:"3,keyasint,omitempty"`
 }
 
-// StoreTold applies another host's report. It returns false if this host lacks earlier changes and
+// ApplyStoreReport applies another host's report. It returns false if this host lacks earlier changes and
 // must ask for a full report.
-func (p *Placer) StoreTold(now time.Time, r StoreReport) bool {
-	if r.Lost {
+func (p *Placer) ApplyStoreReport(now time.Time, r StoreReport) bool {
+	if r.Down {
 		p.StoreLost(r.Address)
 		return true
 	}
 	p.mu.Lock()
 	st := p.stores[r.Address]
-	gap := st != nil && !r.News.Full && (st.epoch == r.News.Epoch && r.News.From > st.next || st.epoch != r.News.Epoch && r.News.From > 0)
+	gap := st != nil && !r.Changes.Full && (st.epoch == r.Changes.Epoch && r.Changes.From > st.next || st.epoch != r.Changes.Epoch && r.Changes.From > 0)
 	p.mu.Unlock()
 	if gap {
 		return false
 	}
-	p.StoreHeard(now, r.Address, r.News)
+	p.ApplyStoreChanges(now, r.Address, r.Changes)
 	return true
 }
 
@@ -123,17 +123,17 @@
 		if !st.up {
 			continue
 		}
-		r := StoreReport{Address: address, News: StoreNews{Epoch: st.epoch, Full: true, Next: st.next, Clock: p.clock.millis}}
+		r := StoreReport{Address: address, Changes: StoreChanges{Epoch: st.epoch, Full: true, Next: st.next, Clock: p.clock.millis}}
 		for name, tokens := range st.held {
-			r.News.Changes = append(r.News.Changes, StoreChange{Part: name, Tokens: tokens})
+			r.Changes.Changes = append(r.Changes.Changes, StoreChange{Part: name, Tokens: tokens})
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
-// StoreHeard applies a store's own list of changes.
-func (p *Placer) StoreHeard(now time.Time, address string, n StoreNews) {
+// ApplyStoreChanges applies a store's own list of changes.
+func (p *Placer) ApplyStoreChanges(now time.Time, address string, n StoreChanges) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	st := p.stores[address]
@@ -196,27 +196,27 @@
 	return p.clock.millis + now.Sub(p.clock.at).Milliseconds() + maxFetchTime.Milliseconds()
 }
 
-// Trust records that the operators' feed was current at a time.
-func (p *Placer) Trust(at time.Time) {
+// SetFeedCurrent records that the operators' feed was current at a time.
+func (p *Placer) SetFeedCurrent(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.feedCurrentAt = at
 }
 
-// Freed lists what a store holds under salts that are no longer used.
-type Freed struct {
+// UnusedParts lists what a store holds under salts that are no longer used.
+type UnusedParts struct {
 	Address string
 	Epoch   int64
 	Parts   []PartName
 }
 
 // Unused returns what stores hold under salts for which keep returns false.
-func (p *Placer) Unused(keep func(salt string) bool) []Freed {
+func (p *Placer) Unused(keep func(salt string) bool) []UnusedParts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []Freed
+	var out []UnusedParts
 	for address, st := range p.stores {
-		f := Freed{Address: address, Epoch: st.epoch}
+		f := UnusedParts{Address: address, Epoch: st.epoch}
 		for name := range st.held {
 			if !keep(name.Salt) {
 				f.Parts = append(f.Parts, name)
--- a/placer/ticket.go
+++ b/placer/ticket.go
@@ -12,10 +12,10 @@
 	ResultServed Result = "Served"
 	ResultFailed Result = "Failed" // ResultFailed is an error that counts against the upstream.
 	// ResultRefused means that the upstream was full or not the expected instance.
-	ResultRefused   Result = "Refused"
-	ResultUnreached Result = "Unreached" // ResultUnreached means that no connection was established.
-	// ResultCaller means that the caller left; it says nothing of the upstream.
-	ResultCaller Result = "Caller"
+	ResultRefused     Result = "Refused"
+	ResultUnreachable Result = "Unreached" // ResultUnreachable means that no connection was established.
+	// ResultCallerGone means that the caller left; it says nothing of the upstream.
+	ResultCallerGone Result = "Caller"
 )
 
 // Ticket is a request in flight at an upstream.
@@ -53,8 +53,8 @@
 	}
 	tk.first = true
 	tk.target.lastActivity = now
-	if tk.work.Pending >= urgentTokens && tk.placer.opts.Urgent != nil {
-		tk.placer.opts.Urgent()
+	if tk.work.Pending >= urgentTokens && tk.placer.opts.OnUrgent != nil {
+		tk.placer.opts.OnUrgent()
 	}
 	tk.target.freedAt = now
 	tk.target.own.Pending -= tk.work.Pending
@@ -72,10 +72,10 @@
 	tk.placer.notifyRoom()
 }
 
-// notifyRoom calls Options.Eased.
+// notifyRoom calls Options.OnRoom.
 func (p *Placer) notifyRoom() {
-	if p.opts.Eased != nil {
-		p.opts.Eased()
+	if p.opts.OnRoom != nil {
+		p.opts.OnRoom()
 	}
 }
 
@@ -117,7 +117,7 @@
 		}
 	case ResultFailed, ResultRefused:
 		t.failed() // a full upstream also is a worse choice for a while
-	case ResultUnreached:
+	case ResultUnreachable:
 		t.markUnreachable(now)
 	default:
 		t.probing = false
