--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// Bar is the number of ends from which a request is barred.
-	Bar = 3
+	// BarThreshold is the number of ends from which a request is barred.
+	BarThreshold = 3
 	// sameEventWindow is the time after an end within which the end of a retry's upstream is attributed
 	// to the same event, such as a loss of power.
 	sameEventWindow = 20 * time.Millisecond
@@ -39,7 +39,7 @@
 
 const (
 	Free    Standing = "Free"    // Free means that no ends count against it.
-	Suspect Standing = "Suspect" // Suspect means that upstreams have ended under it, but fewer than Bar.
+	Suspect Standing = "Suspect" // Suspect means that upstreams have ended under it, but fewer than BarThreshold.
 	Barred  Standing = "Barred"  // Barred means that it is sent to no upstream.
 )
 
@@ -51,10 +51,10 @@
 
 // Options configure a Ledger.
 type Options struct {
-	// Changed is called, if set, when News has new entries. It must not block or call the Ledger.
+	// Changed is called, if set, when TakeChanges has new entries. It must not block or call the Ledger.
 	Changed func()
 	// Barred is called, if set, when a request becomes barred. It must not block or call the Ledger.
-	Barred func(w Word)
+	Barred func(w Entry)
 }
 
 // Ledger records the upstream ends of each request. It is safe for concurrent use.
@@ -64,7 +64,7 @@
 
 	mu        sync.Mutex
 	records   map[Identity]*record
-	unsent    map[Identity]struct{} // unsent are identities whose changes News has not returned yet.
+	unsent    map[Identity]struct{} // unsent are identities whose changes TakeChanges has not returned yet.
 	digest    uint64                // digest is the XOR of the digests of all records.
 	served    recentSet
 	abandoned []abandonment // abandoned are recently abandoned requests, oldest first.
@@ -72,9 +72,9 @@
 
 // abandonment is a request that was abandoned while it was running at an upstream instance.
 type abandonment struct {
-	id    Identity
-	start string
-	at    time.Time
+	id       Identity
+	instance string
+	at       time.Time
 }
 
 // New returns an empty ledger.
@@ -102,33 +102,33 @@
 // Ended records that an upstream instance ended while running a request that was sent at the given time.
 // A request sent after the previous end was a retry, and its upstream may have ended by the same event;
 // copies that were sent concurrently count separately.
-func (l *Ledger) Ended(now time.Time, id Identity, start string, sent time.Time) {
+func (l *Ledger) Ended(now time.Time, id Identity, instance string, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.countAbandoned(now, map[string]bool{start: true})
+	l.countAbandoned(now, map[string]bool{instance: true})
 	if r := l.records[id]; r != nil && now.Sub(r.lastLocalEnd) < sameEventWindow && !sent.Before(r.lastLocalEnd) {
 		return
 	}
-	l.recordEnd(now, id, start)
+	l.recordEnd(now, id, instance)
 }
 
-// Left records that a request was abandoned, by its caller or at its deadline, while it may have been
+// Abandoned records that a request was abandoned, by its caller or at its deadline, while it may have been
 // running at an upstream instance. Otherwise callers that disconnect and retry could end one upstream
 // after another unnoticed.
-func (l *Ledger) Left(now time.Time, id Identity, start string) {
+func (l *Ledger) Abandoned(now time.Time, id Identity, instance string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if over := len(l.abandoned) - maxAbandoned + 1; over > 0 {
 		l.abandoned = l.abandoned[over:]
 	}
-	l.abandoned = append(l.abandoned, abandonment{id: id, start: start, at: now})
+	l.abandoned = append(l.abandoned, abandonment{id: id, instance: instance, at: now})
 }
 
-// Gone records that an upstream instance ended without a running request of this host.
-func (l *Ledger) Gone(now time.Time, start string) {
+// InstanceEnded records that an upstream instance ended without a running request of this host.
+func (l *Ledger) InstanceEnded(now time.Time, instance string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.countAbandoned(now, map[string]bool{start: true})
+	l.countAbandoned(now, map[string]bool{instance: true})
 }
 
 // countAbandoned records the ends of upstream instances for the requests recently abandoned there;
@@ -141,18 +141,18 @@
 	}
 	l.abandoned = l.abandoned[fresh:]
 	for _, d := range l.abandoned {
-		if ended[d.start] {
-			l.recordEnd(now, d.id, d.start)
+		if ended[d.instance] {
+			l.recordEnd(now, d.id, d.instance)
 		}
 	}
 }
 
 // recordEnd records an end that this host has observed; l.mu is held.
-func (l *Ledger) recordEnd(now time.Time, id Identity, start string) {
+func (l *Ledger) recordEnd(now time.Time, id Identity, instance string) {
 	if l.served.has(id) {
 		return // a request that crashes upstreams is never served
 	}
-	if l.update(now, id, func(r *record) bool { return r.add(start) }) {
+	if l.update(now, id, func(r *record) bool { return r.add(instance) }) {
 		l.records[id].lastLocalEnd = now
 		l.announce(id)
 	}
@@ -185,7 +185,7 @@
 	return true
 }
 
-// announce queues an identity for News; l.mu is held.
+// announce queues an identity for TakeChanges; l.mu is held.
 func (l *Ledger) announce(id Identity) {
 	l.unsent[id] = struct{}{}
 	if l.opts.Changed != nil {
@@ -193,15 +193,15 @@
 	}
 }
 
-// Hear merges the records of another host, and returns those that became barred by it, for forwarding.
+// Merge merges the records of another host, and returns those that became barred by it, for forwarding.
 // Other differences are found by comparing Digest.
-func (l *Ledger) Hear(now time.Time, words []Word) (barred []Word) {
+func (l *Ledger) Merge(now time.Time, entries []Entry) (barred []Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.abandoned) > 0 {
-		l.countAbandoned(now, endedStarts(words))
+		l.countAbandoned(now, endedStarts(entries))
 	}
-	for _, w := range words {
+	for _, w := range entries {
 		if w.Age < w.ttl() {
 			free := !l.barred(w.Identity)
 			l.update(now.Add(-w.Age), w.Identity, func(r *record) bool { return r.merge(w) })
@@ -292,11 +292,11 @@
 	}
 }
 
-// News returns the records to send to the other hosts, and clears the queue.
-func (l *Ledger) News(now time.Time) []Word {
+// TakeChanges returns the records to send to the other hosts, and clears the queue.
+func (l *Ledger) TakeChanges(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Word
+	var out []Entry
 	for id := range l.unsent {
 		out = append(out, l.records[id].snapshot(now, id))
 	}
@@ -304,22 +304,22 @@
 	return out
 }
 
-// Words returns all records that Digest covers, for hosts that have missed some.
-func (l *Ledger) Words(now time.Time) []Word {
+// Entries returns all records that Digest covers, for hosts that have missed some.
+func (l *Ledger) Entries(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.snapshots(now, (*record).multipleEnds)
 }
 
 // Bars returns the records of barred requests.
-func (l *Ledger) Bars(now time.Time) []Word {
+func (l *Ledger) Bars(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.snapshots(now, (*record).barred)
 }
 
-func (l *Ledger) snapshots(now time.Time, which func(r *record) bool) []Word {
-	var out []Word
+func (l *Ledger) snapshots(now time.Time, which func(r *record) bool) []Entry {
+	var out []Entry
 	for id, r := range l.records {
 		if now.Sub(r.changedAt) < r.ttl() && which(r) {
 			out = append(out, r.snapshot(now, id))
--- a/quarantiner/ledger_test.go
+++ b/quarantiner/ledger_test.go
@@ -75,21 +75,21 @@
 		case "ended":
 			l.Ended(now, identityOf(verb[1]), verb[2], sentAt(t, now, s, verb))
 		case "left":
-			l.Left(now, identityOf(verb[1]), verb[2])
+			l.Abandoned(now, identityOf(verb[1]), verb[2])
 		case "gone":
-			l.Gone(now, verb[2])
+			l.InstanceEnded(now, verb[2])
 		case "served":
 			l.Served(now, identityOf(verb[1]))
 		case "lift":
 			l.Lift(now, identityOf(verb[1]))
 		case "tell":
-			at(verb[1]).Hear(now, l.News(now))
+			at(verb[1]).Merge(now, l.TakeChanges(now))
 		case "tell-late":
-			words := l.News(now)
+			entries := l.TakeChanges(now)
 			now = now.Add(messageDelay)
-			at(verb[1]).Hear(now, words)
+			at(verb[1]).Merge(now, entries)
 		case "tell-all":
-			at(verb[1]).Hear(now, l.Words(now))
+			at(verb[1]).Merge(now, l.Entries(now))
 		case "look":
 		default:
 			t.Fatalf("unknown step %q", s.Do)
@@ -106,7 +106,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		sources := []*Ledger{New(Options{}), New(Options{}), New(Options{})}
-		var words []Word
+		var entries []Entry
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			l := sources[rapid.IntRange(0, 2).Draw(t, "host")]
@@ -117,12 +117,12 @@
 			default:
 				l.Ended(now, id, fmt.Sprint("start-", rapid.IntRange(0, 5).Draw(t, "start")), now)
 			}
-			words = append(words, l.Words(now)...)
+			entries = append(entries, l.Entries(now)...)
 		}
 		a, b := New(Options{}), New(Options{})
-		a.Hear(now, words)
-		b.Hear(now, rapid.Permutation(words).Draw(t, "order"))
-		b.Hear(now, words)
+		a.Merge(now, entries)
+		b.Merge(now, rapid.Permutation(entries).Draw(t, "order"))
+		b.Merge(now, entries)
 		assert.Equal(t, a.Digest(), b.Digest())
 		for i := range 4 {
 			id := identityOf(fmt.Sprint(i))
@@ -136,7 +136,7 @@
 func TestBounds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(Options{})
-	for i := range Bar {
+	for i := range BarThreshold {
 		now = now.Add(time.Second)
 		l.Ended(now, identityOf("bad"), fmt.Sprint(i), now)
 	}
--- a/quarantiner/word.go
+++ b/quarantiner/word.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Word is a host's whole record of one identity, as sent to other hosts.
-type Word struct {
+// Entry is a host's whole record of one identity, as sent to other hosts.
+type Entry struct {
 	Identity Identity      `cbor:"1,keyasint"`
 	Ends     []string      `cbor:"2,keyasint,omitempty"` // Ends are the upstream instances that ended under it.
 	Cleared  []string      `cbor:"3,keyasint,omitempty"` // Cleared are ends that no longer count.
@@ -19,11 +19,11 @@
 }
 
 // endedStarts returns all upstream instances that the words report as ended.
-func endedStarts(words []Word) map[string]bool {
+func endedStarts(entries []Entry) map[string]bool {
 	ends := make(map[string]bool)
-	for _, w := range words {
-		for _, start := range w.Ends {
-			ends[start] = true
+	for _, w := range entries {
+		for _, instance := range w.Ends {
+			ends[instance] = true
 		}
 	}
 	return ends
@@ -37,7 +37,7 @@
 	lastLocalEnd time.Time // lastLocalEnd is when this host last observed an end itself.
 }
 
-func (r *record) barred() bool { return len(r.ends) >= Bar }
+func (r *record) barred() bool { return len(r.ends) >= BarThreshold }
 
 func (r *record) empty() bool { return len(r.ends) == 0 && len(r.cleared) == 0 }
 
@@ -49,31 +49,31 @@
 // ttl is how long the record is kept after its last change.
 func (r *record) ttl() time.Duration { return recordTTL(r.ends) }
 
-func (w *Word) ttl() time.Duration { return recordTTL(w.Ends) }
+func (w *Entry) ttl() time.Duration { return recordTTL(w.Ends) }
 
 func recordTTL(ends []string) time.Duration {
-	if len(ends) >= Bar {
+	if len(ends) >= BarThreshold {
 		return barTTL
 	}
 	return suspectTTL
 }
 
 // add records an end and reports whether it is new.
-func (r *record) add(start string) bool {
-	if slices.Contains(r.ends, start) || slices.Contains(r.cleared, start) || len(r.ends) >= maxEnds {
+func (r *record) add(instance string) bool {
+	if slices.Contains(r.ends, instance) || slices.Contains(r.cleared, instance) || len(r.ends) >= maxEnds {
 		return false
 	}
-	r.ends = append(r.ends, start)
+	r.ends = append(r.ends, instance)
 	return true
 }
 
 // clear marks an end as cleared and reports whether it was not yet.
-func (r *record) clear(start string) bool {
-	if slices.Contains(r.cleared, start) {
+func (r *record) clear(instance string) bool {
+	if slices.Contains(r.cleared, instance) {
 		return false
 	}
-	r.ends = slices.DeleteFunc(r.ends, func(s string) bool { return s == start })
-	r.cleared = append(r.cleared, start)
+	r.ends = slices.DeleteFunc(r.ends, func(s string) bool { return s == instance })
+	r.cleared = append(r.cleared, instance)
 	if over := len(r.cleared) - maxEnds; over > 0 {
 		r.cleared = r.cleared[over:]
 	}
@@ -83,20 +83,20 @@
 // clearAll clears all ends and reports whether there were any.
 func (r *record) clearAll() bool {
 	counted := slices.Clone(r.ends)
-	for _, start := range counted {
-		r.clear(start)
+	for _, instance := range counted {
+		r.clear(instance)
 	}
 	return len(counted) > 0
 }
 
 // merge adds the record of another host and reports whether this one changed.
-func (r *record) merge(w Word) bool {
+func (r *record) merge(w Entry) bool {
 	changed := false
-	for _, start := range w.Cleared {
-		changed = r.clear(start) || changed
+	for _, instance := range w.Cleared {
+		changed = r.clear(instance) || changed
 	}
-	for _, start := range w.Ends {
-		changed = r.add(start) || changed
+	for _, instance := range w.Ends {
+		changed = r.add(instance) || changed
 	}
 	return changed
 }
@@ -111,16 +111,16 @@
 	if r.barred() {
 		sum = xxhash.Sum64String(string(id[:]))
 	} else {
-		for _, start := range r.ends {
-			sum ^= xxhash.Sum64String(string(id[:]) + "+" + start)
+		for _, instance := range r.ends {
+			sum ^= xxhash.Sum64String(string(id[:]) + "+" + instance)
 		}
 	}
-	for _, start := range r.cleared {
-		sum ^= xxhash.Sum64String(string(id[:]) + "-" + start)
+	for _, instance := range r.cleared {
+		sum ^= xxhash.Sum64String(string(id[:]) + "-" + instance)
 	}
 	return sum
 }
 
-func (r *record) snapshot(now time.Time, id Identity) Word {
-	return Word{Identity: id, Ends: slices.Clone(r.ends), Cleared: slices.Clone(r.cleared), Age: max(0, now.Sub(r.changedAt))}
+func (r *record) snapshot(now time.Time, id Identity) Entry {
+	return Entry{Identity: id, Ends: slices.Clone(r.ends), Cleared: slices.Clone(r.cleared), Age: max(0, now.Sub(r.changedAt))}
 }
--- a/renewer/doc.go
+++ b/renewer/doc.go
@@ -21,13 +21,13 @@
 //
 // # Usage
 //
-//	r := renewer.New(renewer.Options{Host: "host-1", Term: 2 * time.Second, Turn: 3 * time.Second})
-//	for _, c := range r.Step(now, renewer.Input{View: view, Place: 0}) {
+//	r := renewer.New(renewer.Options{Host: "host-1", Term: 2 * time.Second, HandoverGap: 3 * time.Second})
+//	for _, c := range r.Step(now, renewer.Input{View: view, HostIndex: 0}) {
 //		switch c := c.(type) {
 //		case renewer.ReadLease: ... // then r.LeaseRead
 //		case renewer.WriteLease: ... // then r.LeaseWritten
-//		case renewer.Order: ... // then r.Ordered
-//		case renewer.Ask: ... // then r.Told
+//		case renewer.Order: ... // then r.OrderAnswered
+//		case renewer.QueryVersion: ... // then r.VersionReported
 //		case renewer.Renewed: ... // the engine has new weights
 //		}
 //	}
--- a/renewer/doubt_test.go
+++ b/renewer/doubt_test.go
@@ -29,7 +29,7 @@
 
 func newFleet(engines int, ends func(load int) bool) *fleet {
 	f := &fleet{stepper: newStepper("a"), crashes: ends, due: make(map[string]time.Time)}
-	f.view = &follower.View{Named: map[string]follower.Named{"m": {Version: 2}}}
+	f.view = &follower.View{Versions: map[string]follower.VersionHistory{"m": {Version: 2}}}
 	var upstreams []follower.Upstream
 	for i := range engines {
 		upstreams = append(upstreams, follower.Upstream{ID: fmt.Sprint("e", i), Standing: follower.StandingReady, Weights: map[string]uint64{"m": 1}})
@@ -64,10 +64,10 @@
 		if _, busy := f.due[c.Upstream.ID]; !busy {
 			f.due[c.Upstream.ID] = f.now.Add(loadTime)
 		}
-		f.r.Ordered(f.now, c, OrderAccepted)
-	case Ask:
+		f.r.OrderAnswered(f.now, c, OrderAccepted)
+	case QueryVersion:
 		_, busy := f.due[c.Upstream.ID]
-		f.r.Told(f.now, c, busy, c.Upstream.Weights["m"], nil)
+		f.r.VersionReported(f.now, c, busy, c.Upstream.Weights["m"], nil)
 	}
 }
 
@@ -88,7 +88,7 @@
 		}
 		upstreams = append(upstreams, u)
 	}
-	f.view = &follower.View{Named: f.view.Named, Upstreams: follower.ListOf(upstreams...)}
+	f.view = &follower.View{Versions: f.view.Versions, Upstreams: follower.ListOf(upstreams...)}
 }
 
 // TestVersionThatEndsEngines checks that a version whose load always crashes ends few engines and is
@@ -130,7 +130,7 @@
 	a.run(5 * time.Second)
 	b := newStepper("b")
 	b.now = a.now
-	b.r.Heard(b.now, a.r.Status(a.now))
+	b.r.HandleStatus(b.now, a.r.Status(a.now))
 	assert.Assert(t, !b.r.loadAllowed(b.now, "m", 2, 0))
 	assert.Assert(t, b.r.loadAllowed(b.now, "m", 3, 0))
 	assert.Assert(t, b.r.loadAllowed(b.now.Add(initialPause), "m", 2, 0))
--- a/renewer/random_test.go
+++ b/renewer/random_test.go
@@ -80,7 +80,7 @@
 func (s *sim) start(h *simHost) {
 	h.starts++
 	h.down = false
-	h.renewer = New(Options{Host: h.name, Term: 2 * time.Second, Turn: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3, Seed: h.starts * 1e6})
+	h.renewer = New(Options{Host: h.name, Term: 2 * time.Second, HandoverGap: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3, Seed: h.starts * 1e6})
 }
 
 func (s *sim) view() *follower.View {
@@ -88,7 +88,7 @@
 	for id, e := range s.engines {
 		upstreams = append(upstreams, follower.Upstream{ID: id, Standing: follower.StandingReady, Weights: map[string]uint64{"m": e.version}})
 	}
-	return &follower.View{Named: map[string]follower.Named{"m": {Version: s.named}}, Upstreams: follower.ListOf(upstreams...)}
+	return &follower.View{Versions: map[string]follower.VersionHistory{"m": {Version: s.named}}, Upstreams: follower.ListOf(upstreams...)}
 }
 
 func (s *sim) run(d time.Duration) {
@@ -104,7 +104,7 @@
 					place++
 				}
 			}
-			s.execute(h, h.renewer.Step(s.now, Input{View: s.view(), Place: place, Busy: func(string) int { return 0 }}))
+			s.execute(h, h.renewer.Step(s.now, Input{View: s.view(), HostIndex: place, Busy: func(string) int { return 0 }}))
 			if st := h.renewer.Status(s.now); st != nil {
 				s.broadcast(h, st)
 			}
@@ -136,7 +136,7 @@
 func (s *sim) broadcast(from *simHost, st *Status) {
 	for _, h := range s.hosts {
 		if h != from && !h.down && !h.paused && !h.noPeers && !from.noPeers {
-			h.renewer.Heard(s.now, st)
+			h.renewer.HandleStatus(s.now, st)
 		}
 	}
 }
@@ -154,9 +154,9 @@
 			s.write(h, c)
 		case Order:
 			s.order(h, c)
-		case Ask:
+		case QueryVersion:
 			e := s.engines[c.Upstream.ID]
-			s.execute(h, h.renewer.Told(s.now, c, e.loading > 0, e.version, nil))
+			s.execute(h, h.renewer.VersionReported(s.now, c, e.loading > 0, e.version, nil))
 		}
 	}
 }
@@ -190,14 +190,14 @@
 	switch {
 	case e.slow:
 		e.pending, e.due = append(e.pending, o), s.now.Add(4*time.Second)
-		h.renewer.Ordered(s.now, o, OrderUnknown)
+		h.renewer.OrderAnswered(s.now, o, OrderUnknown)
 	case e.version >= o.Version:
-		s.execute(h, h.renewer.Ordered(s.now, o, OrderHolds))
+		s.execute(h, h.renewer.OrderAnswered(s.now, o, OrderHolds))
 	case e.loading > 0:
-		h.renewer.Ordered(s.now, o, OrderAccepted)
+		h.renewer.OrderAnswered(s.now, o, OrderAccepted)
 	default:
 		e.loading, e.until = o.Version, s.now.Add(900*time.Millisecond)
-		h.renewer.Ordered(s.now, o, OrderAccepted)
+		h.renewer.OrderAnswered(s.now, o, OrderAccepted)
 	}
 }
 
--- a/renewer/renewer.go
+++ b/renewer/renewer.go
@@ -14,13 +14,13 @@
 
 // Options configure a Renewer.
 type Options struct {
-	Host   string
-	Term   time.Duration // Term is how long a hold lasts without renewal.
-	Turn   time.Duration // Turn is the minimum time between orders of two hosts to one engine.
-	Margin time.Duration // Margin covers timer delays and clock drift.
-	AtOnce int           // AtOnce is the minimum number of engines that may load concurrently.
-	Share  float64       // Share is the fraction of all engines that may load concurrently, if that is more.
-	Seed   uint64        // Seed is the start of the write nonces; it must differ between process starts.
+	Host        string
+	Term        time.Duration // Term is how long a hold lasts without renewal.
+	HandoverGap time.Duration // HandoverGap is the minimum time between orders of two hosts to one engine.
+	Margin      time.Duration // Margin covers timer delays and clock drift.
+	AtOnce      int           // AtOnce is the minimum number of engines that may load concurrently.
+	Share       float64       // Share is the fraction of all engines that may load concurrently, if that is more.
+	Seed        uint64        // Seed is the start of the write nonces; it must differ between process starts.
 }
 
 const (
@@ -56,8 +56,8 @@
 	Token    uint64 // Token is the fencing token; it grows with each change of holder.
 }
 
-// Ask queries an engine for its weight versions.
-type Ask struct {
+// QueryVersion queries an engine for its weight versions.
+type QueryVersion struct {
 	Upstream follower.Upstream
 	Model    string
 }
@@ -78,12 +78,12 @@
 	Pause   time.Duration // Pause is how long no engine is ordered to load it.
 }
 
-func (ReadLease) command()  {}
-func (WriteLease) command() {}
-func (Order) command()      {}
-func (Ask) command()        {}
-func (Renewed) command()    {}
-func (Doubted) command()    {}
+func (ReadLease) command()    {}
+func (WriteLease) command()   {}
+func (Order) command()        {}
+func (QueryVersion) command() {}
+func (Renewed) command()      {}
+func (Doubted) command()      {}
 
 // Status is the state that a host sends to the others.
 type Status struct {
@@ -100,9 +100,9 @@
 
 // Input is the external state that Step depends on.
 type Input struct {
-	View  *follower.View
-	Place int                    // Place is this host's index among the live hosts.
-	Busy  func(start string) int // Busy returns the number of requests at an engine instance.
+	View      *follower.View
+	HostIndex int                    // HostIndex is this host's index among the live hosts.
+	Busy      func(start string) int // Busy returns the number of requests at an engine instance.
 }
 
 // job is the state of an engine that is to load a version.
@@ -168,7 +168,7 @@
 	if len(lagging) == 0 {
 		r.laggingSince = time.Time{}
 		clear(r.jobs)
-		if in.Place < maxIdleReaders && !r.lease.known && !r.lease.inFlight && now.Sub(r.lease.lastCall) > r.opts.Term {
+		if in.HostIndex < maxIdleReaders && !r.lease.known && !r.lease.inFlight && now.Sub(r.lease.lastCall) > r.opts.Term {
 			// An expired record must have been seen for a whole term; reading it early saves that wait.
 			r.lease.inFlight, r.lease.lastCall = true, now
 			return []Command{ReadLease{}}
@@ -179,7 +179,7 @@
 		r.laggingSince = now
 	}
 	if !r.held(now) {
-		if now.Sub(r.laggingSince) < time.Duration(in.Place)*placeDelay || now.Sub(r.holderSeen) < holderTimeout {
+		if now.Sub(r.laggingSince) < time.Duration(in.HostIndex)*placeDelay || now.Sub(r.holderSeen) < holderTimeout {
 			return nil
 		}
 		return r.acquire(now)
@@ -206,10 +206,10 @@
 		present[u.ID] = true
 		for model, has := range u.Weights {
 			r.clearDoubt(model, has)
-			if u.Standing == follower.StandingReady && has < view.Named[model].Version && !behind[u.ID] {
+			if u.Standing == follower.StandingReady && has < view.Versions[model].Version && !behind[u.ID] {
 				lagging = append(lagging, *u)
 				behind[u.ID] = true
-				r.updateJob(now, u, model, view.Named[model].Version)
+				r.updateJob(now, u, model, view.Versions[model].Version)
 			}
 		}
 	}
@@ -231,7 +231,7 @@
 // staysUpToDate reports whether no engine has outdated weights, by examining only the engines that
 // changed since the last such view.
 func (r *Renewer) staysUpToDate(view *follower.View) bool {
-	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Named, view.Named, func(a, b follower.Named) bool {
+	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Versions, view.Versions, func(a, b follower.VersionHistory) bool {
 		return a.Version == b.Version
 	}) {
 		return false
@@ -239,7 +239,7 @@
 	put, _ := view.Upstreams.Since(r.upToDate.Upstreams)
 	for _, u := range put {
 		for model, has := range u.Weights {
-			if has < view.Named[model].Version {
+			if has < view.Versions[model].Version {
 				return false
 			}
 			r.clearDoubt(model, has)
@@ -267,7 +267,7 @@
 // work returns the orders and polls that are due.
 func (r *Renewer) work(now time.Time, in Input, lagging []follower.Upstream) []Command {
 	slices.SortStableFunc(lagging, func(a, b follower.Upstream) int {
-		return cmp.Or(cmp.Compare(in.Busy(a.Start()), in.Busy(b.Start())), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(in.Busy(a.InstanceID()), in.Busy(b.InstanceID())), cmp.Compare(a.ID, b.ID))
 	})
 	atOnce := max(r.opts.AtOnce, int(r.opts.Share*float64(countEngines(in.View))))
 	var out []Command
@@ -283,7 +283,7 @@
 		loading++
 		if !j.inFlight && now.Sub(j.orderedAt) > initialPollDelay && now.Sub(j.polledAt) > pollInterval {
 			j.inFlight, j.polledAt = true, now
-			out = append(out, Ask{Upstream: u, Model: j.model})
+			out = append(out, QueryVersion{Upstream: u, Model: j.model})
 		}
 		if now.After(j.retryAt) {
 			j.loading = false
@@ -337,7 +337,7 @@
 		return false
 	}
 	last, ok := r.othersOrders[id]
-	return !ok || now.Sub(last) > r.opts.Turn+r.opts.Margin
+	return !ok || now.Sub(last) > r.opts.HandoverGap+r.opts.Margin
 }
 
 // OrderResult is the outcome of an order.
@@ -350,8 +350,8 @@
 	OrderUnknown  OrderResult = "Unknown" // OrderUnknown means that no answer was received.
 )
 
-// Ordered processes the answer to an order.
-func (r *Renewer) Ordered(now time.Time, o Order, result OrderResult) []Command {
+// OrderAnswered processes the answer to an order.
+func (r *Renewer) OrderAnswered(now time.Time, o Order, result OrderResult) []Command {
 	j := r.jobs[o.Upstream.ID]
 	if j == nil || j.born != o.Upstream.Born {
 		return nil // the engine has restarted since the order
@@ -370,10 +370,10 @@
 	return nil
 }
 
-// Told processes an engine's answer to Ask.
-func (r *Renewer) Told(now time.Time, a Ask, busy bool, version uint64, err error) []Command {
-	j := r.jobs[a.Upstream.ID]
-	if j == nil || j.born != a.Upstream.Born {
+// VersionReported processes an engine's answer to QueryVersion.
+func (r *Renewer) VersionReported(now time.Time, q QueryVersion, busy bool, version uint64, err error) []Command {
+	j := r.jobs[q.Upstream.ID]
+	if j == nil || j.born != q.Upstream.Born {
 		return nil
 	}
 	j.inFlight = false
@@ -388,7 +388,7 @@
 	if version == 0 {
 		return nil
 	}
-	return r.renewed(&a.Upstream, a.Model, version)
+	return r.renewed(&q.Upstream, q.Model, version)
 }
 
 func (r *Renewer) renewed(u *follower.Upstream, model string, version uint64) []Command {
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -15,7 +15,7 @@
 // oneEngine returns a view with one engine that has one version while another is named.
 func oneEngine(has, named uint64) *follower.View {
 	return &follower.View{
-		Named:     map[string]follower.Named{"m": {Version: named}},
+		Versions:  map[string]follower.VersionHistory{"m": {Version: named}},
 		Upstreams: follower.ListOf(follower.Upstream{ID: "e0", Standing: follower.StandingReady, Weights: map[string]uint64{"m": has}}),
 	}
 }
@@ -30,7 +30,7 @@
 func newStepper(host string) *stepper {
 	return &stepper{
 		now: time.Unix(1000, 0),
-		r:   New(Options{Host: host, Term: time.Second, Turn: simTurn, Margin: 200 * time.Millisecond, AtOnce: 3, Seed: 10}),
+		r:   New(Options{Host: host, Term: time.Second, HandoverGap: simTurn, Margin: 200 * time.Millisecond, AtOnce: 3, Seed: 10}),
 	}
 }
 
@@ -59,13 +59,13 @@
 	a, b := newStepper("a"), newStepper("b")
 	orders := a.collectOrders(3*simTick, oneEngine(1, 2)) // read the lease, write it, order
 	assert.Equal(t, len(orders), 1)
-	a.r.Ordered(a.now, orders[0], OrderHolds)
+	a.r.OrderAnswered(a.now, orders[0], OrderHolds)
 	b.now = a.now
 	for range 30 {
 		a.collectOrders(simTick, oneEngine(2, 2))
 		b.now = a.now
 		if st := a.r.Status(a.now); st != nil {
-			b.r.Heard(b.now, st)
+			b.r.HandleStatus(b.now, st)
 		}
 	}
 	assert.Assert(t, b.r.lease.released, "the hold has ended and that was said")
@@ -95,7 +95,7 @@
 		b.collectOrders(simTick, oneEngine(2, 2))
 		c.now = b.now
 		if st := b.r.Status(b.now); st != nil {
-			c.r.Heard(c.now, st)
+			c.r.HandleStatus(c.now, st)
 		}
 	}
 	assert.Assert(t, c.r.lease.released)
@@ -108,7 +108,7 @@
 func TestLeaseIsReadByFew(t *testing.T) {
 	for place := range 3 * maxIdleReaders {
 		r := New(Options{Host: "a", Term: time.Second})
-		commands := r.Step(time.Unix(1000, 0), Input{View: &follower.View{}, Place: place})
+		commands := r.Step(time.Unix(1000, 0), Input{View: &follower.View{}, HostIndex: place})
 		assert.Equal(t, len(commands) > 0, place < maxIdleReaders, "place %d", place)
 	}
 }
--- a/runner/knowledge.go
+++ b/runner/knowledge.go
@@ -47,12 +47,12 @@
 	c.index.Lookup(now, chain, &c.lookup)
 	req.Known = c.lookup.Known * keeper.TokensPerBlock
 	c.countTurn(workspace, c.lookup.Known > 0)
-	if len(c.lookup.Found) == 0 {
+	if len(c.lookup.Matches) == 0 {
 		return
 	}
 	for i := range pool.Targets {
 		id := c.index.ID(pool.Targets[i].Name)
-		for _, f := range c.lookup.Found {
+		for _, f := range c.lookup.Matches {
 			if f.Upstream == id {
 				req.Holdings = append(req.Holdings, router.Holding{
 					Target: i,
@@ -95,7 +95,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.index.Placed(now, p.Upstream, p.Chain)
+	c.index.AddPlacement(now, p.Upstream, p.Chain)
 	from := c.index.KeptBlocks(p.Upstream, p.Chain)
 	chance := 0.5
 	if counts := c.continuations[p.Workspace]; counts != nil {
@@ -132,14 +132,14 @@
 			c.index.SetKept(change.Kept)
 		}
 	}
-	c.index.Refresh(a.Upstream, a.Until)
+	c.index.ExtendLease(a.Upstream, a.Until)
 }
 
 func (c *cacheIndex) addPlacements(now time.Time, list []messenger.Placement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range list {
-		c.index.PlacedEnd(now, p.Upstream, p.End)
+		c.index.AddPlacementEnd(now, p.Upstream, p.End)
 	}
 }
 
--- a/server/forward.go
+++ b/server/forward.go
@@ -106,7 +106,7 @@
 	if gotFirst {
 		d.recordPlacement(up, c.decision, fail == nil)
 	}
-	if fail == nil || fail.Cause != forwarder.CauseCaller {
+	if fail == nil || fail.Cause != forwarder.CauseCallerGone {
 		up.Instruments.Breaker.Record(s.opts.Timer.Now(), fail == nil || !indicatesFault(fail))
 	}
 	if fail == nil {
@@ -170,7 +170,7 @@
 func (d *delivery) excluded(now time.Time) []bool {
 	pool := d.x.Pool
 	marks := make([]bool, len(pool.Targets))
-	copy(marks, pool.ReservedFrom(d.x.Class.Rank))
+	copy(marks, pool.ReservedAbove(d.x.Class.Rank))
 	for _, i := range d.tried {
 		marks[i] = true
 	}
@@ -241,7 +241,7 @@
 	}
 	if decision.Restore > 0 {
 		req.Restore = d.server.opts.CacheIndex.Segments(d.server.opts.Timer.Now(), up.Name, x.chain, decision.Restore)
-		req.RestoreWithin = int(keeper.LongestWait.Milliseconds())
+		req.RestoreWithin = int(keeper.MaxImportWait.Milliseconds())
 	}
 	if len(d.sentText) > 0 {
 		d.continueFrom(&req)
@@ -266,7 +266,7 @@
 }
 
 // failureOutcome returns the outcome of a request whose attempts all failed.
-func (d *delivery) failureOutcome(ctx context.Context, tries *dispatcher.Tries) Outcome {
+func (d *delivery) failureOutcome(ctx context.Context, tries *dispatcher.Summary) Outcome {
 	o := d.outcome
 	o.Ran = tries.Ran()
 	if fail := tries.Last.Failure; fail != nil {
--- a/tracker/active_test.go
+++ b/tracker/active_test.go
@@ -14,7 +14,7 @@
 
 // newFleet returns the view of host-0 of a fleet of n hosts.
 func newFleet(now time.Time, n int) *Hosts {
-	h := NewHosts(HostRecord{Host: "host-0", Incarnation: 1, State: HostLive, Peers: "host-0"}, HostOptions{Suspect: time.Second, SuspectStandby: 4 * time.Second})
+	h := NewHosts(HostRecord{Host: "host-0", Incarnation: 1, State: HostLive, Peers: "host-0"}, HostOptions{SuspectAfter: time.Second, SuspectStandbyAfter: 4 * time.Second})
 	for i := 1; i < n; i++ {
 		name := fmt.Sprintf("host-%d", i)
 		h.Merge(now, HostRecord{Host: name, Incarnation: 1, State: HostLive, Peers: name})
@@ -32,12 +32,12 @@
 	h.SetActive(now, active)
 	for name := range active {
 		assert.Equal(t, slices.Contains(h.Neighbours(), name), name != "host-0", name)
-		assert.Assert(t, h.Prompt(name))
+		assert.Assert(t, h.FrequentHeartbeats(name))
 	}
-	assert.Assert(t, !h.Prompt("host-50"))
+	assert.Assert(t, !h.FrequentHeartbeats("host-50"))
 	h.SetActive(now, map[string]bool{"host-7": true})
 	assert.Equal(t, len(h.Neighbours()), 4)
-	assert.Assert(t, !h.Prompt("host-7"))
+	assert.Assert(t, !h.FrequentHeartbeats("host-7"))
 }
 
 // TestSilentActiveHostIsSuspectedSooner: active hosts suspect a silent active host after the short
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -14,13 +14,13 @@
 
 // HostOptions configures failure detection and gossip between hosts.
 type HostOptions struct {
-	Suspect time.Duration // Suspect is the silence after which a neighbour is suspected.
-	// SuspectStandby replaces Suspect where the neighbour or this host is a standby; default Suspect.
-	SuspectStandby time.Duration
-	GoneAfter      time.Duration // GoneAfter is the time from suspect to gone; default 3 Suspect.
-	Forget         time.Duration // Forget is how long records of gone hosts are kept; default 10 min.
-	Neighbours     int           // Neighbours is the number of neighbours in a large fleet; default 4.
-	FullMesh       int           // FullMesh is the number of hosts up to which all are neighbours; default 9.
+	SuspectAfter time.Duration // SuspectAfter is the silence after which a neighbour is suspected.
+	// SuspectStandbyAfter replaces SuspectAfter where the neighbour or this host is a standby; default SuspectAfter.
+	SuspectStandbyAfter time.Duration
+	GoneAfter           time.Duration // GoneAfter is the time from suspect to gone; default 3 SuspectAfter.
+	ForgetAfter         time.Duration // ForgetAfter is how long records of gone hosts are kept; default 10 min.
+	Neighbours          int           // Neighbours is the number of neighbours in a large fleet; default 4.
+	FullMesh            int           // FullMesh is the number of hosts up to which all are neighbours; default 9.
 }
 
 // defaultFullMesh is the default of HostOptions.FullMesh.
@@ -78,13 +78,13 @@
 // NewHosts returns the view of a host that knows no other host.
 func NewHosts(self HostRecord, opts HostOptions) *Hosts {
 	if opts.GoneAfter == 0 {
-		opts.GoneAfter = 3 * opts.Suspect
+		opts.GoneAfter = 3 * opts.SuspectAfter
 	}
-	if opts.SuspectStandby == 0 {
-		opts.SuspectStandby = opts.Suspect
+	if opts.SuspectStandbyAfter == 0 {
+		opts.SuspectStandbyAfter = opts.SuspectAfter
 	}
-	if opts.Forget == 0 {
-		opts.Forget = 10 * time.Minute
+	if opts.ForgetAfter == 0 {
+		opts.ForgetAfter = 10 * time.Minute
 	}
 	if opts.FullMesh == 0 {
 		opts.FullMesh = defaultFullMesh
@@ -104,9 +104,9 @@
 // Self returns this host's own record.
 func (h *Hosts) Self() HostRecord { return h.self }
 
-// Say applies a change to this host's own record and reports whether the record differs; if so, its
+// UpdateSelf applies a change to this host's own record and reports whether the record differs; if so, its
 // version increases.
-func (h *Hosts) Say(change func(*HostRecord)) (HostRecord, bool) {
+func (h *Hosts) UpdateSelf(change func(*HostRecord)) (HostRecord, bool) {
 	next := h.self
 	change(&next)
 	if next == h.self {
@@ -221,8 +221,8 @@
 	return []HostRecord{next}
 }
 
-// Heard records direct contact with a host, and reports whether it was the first.
-func (h *Hosts) Heard(now time.Time, host string) bool {
+// RecordContact records direct contact with a host, and reports whether it was the first.
+func (h *Hosts) RecordContact(now time.Time, host string) bool {
 	e := h.records[host]
 	if e == nil {
 		return false
@@ -232,9 +232,9 @@
 	return first
 }
 
-// Unheard returns the neighbours without direct contact since this host started. They are known from
+// Uncontacted returns the neighbours without direct contact since this host started. They are known from
 // announcements or peers only and may not exist any more.
-func (h *Hosts) Unheard() map[string]bool {
+func (h *Hosts) Uncontacted() map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range h.Neighbours() {
 		if !h.records[name].contacted {
@@ -268,7 +268,7 @@
 }
 
 // Tick suspects silent neighbours, declares suspected hosts gone after GoneAfter and removes the
-// records of gone hosts after Forget. It returns the records that must be forwarded.
+// records of gone hosts after ForgetAfter. It returns the records that must be forwarded.
 func (h *Hosts) Tick(now time.Time) []HostRecord {
 	var updates []HostRecord
 	for _, name := range slices.Clone(h.Neighbours()) {
@@ -292,7 +292,7 @@
 				updates = append(updates, h.setState(now, e, HostGone))
 			}
 		case HostGone:
-			if !stillListed && now.Sub(e.changedAt) > h.opts.Forget {
+			if !stillListed && now.Sub(e.changedAt) > h.opts.ForgetAfter {
 				h.drop(name)
 			}
 		case HostJoining:
@@ -306,10 +306,10 @@
 
 // suspectTimeout returns the silence after which a neighbour is suspected.
 func (h *Hosts) suspectTimeout(host string) time.Duration {
-	if h.Prompt(host) {
-		return h.opts.Suspect
+	if h.FrequentHeartbeats(host) {
+		return h.opts.SuspectAfter
 	}
-	return h.opts.SuspectStandby
+	return h.opts.SuspectStandbyAfter
 }
 
 func (h *Hosts) setState(now time.Time, e *hostEntry, s HostState) HostRecord {
