--- a/appender/queue.go
+++ b/appender/queue.go
@@ -14,8 +14,8 @@
 //	q := appender.NewQueue("host-1#17", 10*time.Millisecond)
 //	q.Add(entry)
 //	if rec, ok := q.Next(now); ok { ... append rec.Encode() ... }
-//	q.Done(now, rec.Sequence, err)
-//	q.Read(began, caughtUp, applied)
+//	q.AppendAnswered(now, rec.Sequence, err)
+//	q.StreamRead(began, caughtUp, applied)
 //
 // Queue is a state machine that does no I/O and reads no clock.
 package appender
--- a/claimer/doc.go
+++ b/claimer/doc.go
@@ -19,10 +19,10 @@
 //
 // # Usage
 //
-//	steps := claimant.Start(now, claimer.Request{Key: key, Digest: digest, Nonce: nonce}, deadline)
-//	// send steps.Send; later:
-//	steps = claimant.Answer(now, reply)
-//	for _, s := range steps.Settled { ... s.Verdict ... }
+//	effects := claimant.Start(now, claimer.Request{Key: key, Digest: digest, Nonce: nonce}, deadline)
+//	// send effects.Send; later:
+//	effects = claimant.HandleReply(now, reply)
+//	for _, s := range effects.Settled { ... s.Verdict ... }
 //
 // A claim without an outcome becomes Unknown after Policy.Timeout, because its claimant may
 // have failed before or after the dispatch. Unknown is final unless the claimant reports the
--- a/conductor/delays.go
+++ b/conductor/delays.go
@@ -20,12 +20,12 @@
 	unknownAge = 24 * time.Hour
 )
 
-// peerArrivals tracks when each host was last heard, to detect delayed messages.
+// peerArrivals tracks the last contact with each host, to detect delayed messages.
 type peerArrivals map[string]*peerArrival
 
 type peerArrival struct {
-	lastHeard  time.Time
-	staleUntil time.Time
+	lastContact time.Time
+	staleUntil  time.Time
 }
 
 // mayBeStale records a message from a host and reports whether it may have been delayed.
@@ -35,10 +35,10 @@
 		h = &peerArrival{}
 		d[host] = h
 	}
-	if now.Sub(h.lastHeard) > staleGap {
+	if now.Sub(h.lastContact) > staleGap {
 		h.staleUntil = now.Add(staleWindow)
 	}
-	h.lastHeard = now
+	h.lastContact = now
 	return now.Before(h.staleUntil)
 }
 
--- a/conductor/delays_test.go
+++ b/conductor/delays_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, n.feeds[follower.FeedOperator].currentAt, start.Add(resumed+500*time.Millisecond), "later messages have a known age again")
 }
 
-// TestUncontactedHostsAreNotNamed: hosts known only from their announcements are marked unheard until
+// TestUncontactedHostsAreNotNamed: hosts known only from their announcements are marked uncontacted until
 // they have sent a message or connected.
 func TestUncontactedHostsAreNotNamed(t *testing.T) {
 	record := func(host string) tracker.HostRecord {
@@ -66,7 +66,7 @@
 		Self: record("a"), Decoder: weightsDecoder{}, Timing: DefaultTiming(),
 		Placements: func() []placer.Placement { return nil }, StoreReports: func() []placer.StoreReport { return nil },
 	})
-	unheard := func(ev Event) map[string]bool {
+	uncontacted := func(ev Event) map[string]bool {
 		for _, a := range n.Handle(time.Unix(5000, 0), ev) {
 			if p, ok := a.(PublishHosts); ok {
 				return p.Uncontacted
@@ -74,7 +74,7 @@
 		}
 		return nil
 	}
-	assert.DeepEqual(t, unheard(AnnouncementsRead{Hosts: []tracker.HostRecord{record("b"), record("c")}}), map[string]bool{"b": true, "c": true})
-	assert.DeepEqual(t, unheard(PeerConnected{Host: "b"}), map[string]bool{"c": true})
-	assert.DeepEqual(t, unheard(PeerMessage{From: "c", Message: &messenger.Message{}}), map[string]bool{})
+	assert.DeepEqual(t, uncontacted(AnnouncementsRead{Hosts: []tracker.HostRecord{record("b"), record("c")}}), map[string]bool{"b": true, "c": true})
+	assert.DeepEqual(t, uncontacted(PeerConnected{Host: "b"}), map[string]bool{"c": true})
+	assert.DeepEqual(t, uncontacted(PeerMessage{From: "c", Message: &messenger.Message{}}), map[string]bool{})
 }
--- a/conductor/directory.go
+++ b/conductor/directory.go
@@ -24,10 +24,10 @@
 func (h *Host) Addresses(availabilityZone string) ([]string, time.Duration) {
 	ttl := h.opts.Settings.Timing.AddressTTL.Std()
 	d := directory{
-		hosts:   *h.hosts.Load(),
-		unheard: *h.unheard.Load(),
-		serving: *h.serving.Load(),
-		regions: h.opts.Settings.Platform.Regions,
+		hosts:       *h.hosts.Load(),
+		uncontacted: *h.uncontacted.Load(),
+		serving:     *h.serving.Load(),
+		regions:     h.opts.Settings.Platform.Regions,
 	}
 	found := d.addresses(availabilityZone)
 	starting := h.opts.Timer.Now().Sub(h.started) < startupGrace
@@ -42,13 +42,13 @@
 
 // directory selects the hosts that callers are sent to.
 type directory struct {
-	hosts   []tracker.HostRecord
-	unheard map[string]bool // unheard are hosts not heard from since this host started.
-	serving activator.Selection
-	regions map[string]string
+	hosts       []tracker.HostRecord
+	uncontacted map[string]bool // uncontacted are hosts without contact since this host started.
+	serving     activator.Selection
+	regions     map[string]string
 }
 
-// candidates returns the hosts that take callers. It leaves out hosts not heard from since this one
+// candidates returns the hosts that take callers. It leaves out hosts without contact since this one
 // started, and hosts that are not ready if any is.
 func (d *directory) candidates() []tracker.HostRecord {
 	var out []tracker.HostRecord
@@ -62,7 +62,7 @@
 }
 
 func (d *directory) live(r tracker.HostRecord) bool {
-	return r.State == tracker.HostLive && r.Callers != "" && !d.unheard[r.Host]
+	return r.State == tracker.HostLive && r.Callers != "" && !d.uncontacted[r.Host]
 }
 
 // anyReady reports whether any known host is ready to serve.
--- a/conductor/directory_test.go
+++ b/conductor/directory_test.go
@@ -30,16 +30,16 @@
 	for _, c := range cases {
 		t.Run(c.Name, func(t *testing.T) {
 			d := directory{
-				unheard: make(map[string]bool),
-				serving: activator.Selection{Active: make(map[string]bool)},
-				regions: map[string]string{"a": "r1", "b": "r1", "c": "r2"},
+				uncontacted: make(map[string]bool),
+				serving:     activator.Selection{Active: make(map[string]bool)},
+				regions:     map[string]string{"a": "r1", "b": "r1", "c": "r2"},
 			}
 			for _, name := range slices.Sorted(maps.Keys(c.Hosts)) {
 				words := strings.Fields(c.Hosts[name])
 				d.hosts = append(d.hosts, tracker.HostRecord{
 					Host: name, Callers: name, AvailabilityZone: words[0], State: tracker.HostState(words[1]), Ready: slices.Contains(words, "ready"),
 				})
-				d.unheard[name] = !slices.Contains(words, "heard")
+				d.uncontacted[name] = !slices.Contains(words, "heard")
 				d.serving.Active[name] = slices.Contains(words, "active")
 			}
 			assert.DeepEqual(t, d.addresses("a"), c.Want)
--- a/conductor/doc.go
+++ b/conductor/doc.go
@@ -11,8 +11,8 @@
 // active: callers are sent to them, and they exchange load reports. The others are on standby.
 //
 // One host reads the feeds of the platform's store and broadcasts what it read. Every host has a
-// place in the readers' order and reads a feed itself when it has heard no page for a time that
-// grows with its place, so the next host takes over without an election. A host that the store
+// rank in the readers' order and reads a feed itself when it has received no page for a time that
+// grows with its rank, so the next host takes over without an election. A host that the store
 // refuses asks its peers for what it lacks.
 //
 // # Usage
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -87,7 +87,7 @@
 // VersionAgesRestored holds the weight versions that earlier hosts saved.
 type VersionAgesRestored struct{ VersionAges []follower.VersionAge }
 
-// QuarantineChanged reports that the quarantine has news for the other hosts.
+// QuarantineChanged reports that the quarantine has changes for the other hosts.
 type QuarantineChanged struct{}
 
 // QuarantineRestored holds the bars that earlier hosts saved.
--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -28,7 +28,7 @@
 	dropped          map[string]int64 // dropped maps removed keys to the offsets of their removals.
 	droppedFrom      int64            // droppedFrom is the offset from which on dropped is complete.
 	cached           cachedListing
-	heardPage        bool                 // heardPage is set when a peer sent a page since the last read.
+	receivedPage     bool                 // receivedPage is set when a peer sent a page since the last read.
 	soleReader       bool                 // soleReader is set if none did between the last two reads.
 	unreadableLogged map[string]time.Time // unreadableLogged is when a key was last logged as unreadable.
 }
@@ -61,7 +61,7 @@
 		case now.Sub(f.currentAt) < age || now.Sub(f.lastListing) < age:
 			return
 		default:
-			f.heardPage = false // take over: without a wait, the page is broadcast at once
+			f.receivedPage = false // take over: without a wait, the page is broadcast at once
 		}
 	}
 	f.reading = true
@@ -81,7 +81,7 @@
 	f.failing, f.failures = false, 0
 	n.state.StoreAnswered(now)
 	asOf := coveredUntil(now, ev)
-	f.soleReader, f.heardPage = !ev.Page.Full && !f.heardPage, false
+	f.soleReader, f.receivedPage = !ev.Page.Full && !f.receivedPage, false
 	forwarded := n.applyPage(now, ev.Page, asOf)
 	f.retryAt = now.Add(n.readInterval())
 	if !ev.Page.Full {
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -116,9 +116,9 @@
 
 // Requests between hosts other than for pages.
 const (
-	wantStores   = "Stores"   // wantStores requests all KV cache store reports.
-	wantKept     = "Kept"     // wantKept requests all that is known of KV caches.
-	wantAnnounce = "Announce" // wantAnnounce requests that the receiver announce itself.
+	storesRequest     = "Stores"   // storesRequest requests all KV cache store reports.
+	cacheStateRequest = "Kept"     // cacheStateRequest requests all that the receiver knows of KV caches.
+	announceRequest   = "Announce" // announceRequest requests that the receiver announce itself.
 )
 
 func (n *Node) requestStores(now time.Time, host string) {
@@ -126,18 +126,18 @@
 		return
 	}
 	n.lastStores = now
-	n.send(host, &messenger.Message{SnapshotRequests: []string{wantStores}})
+	n.send(host, &messenger.Message{SnapshotRequests: []string{storesRequest}})
 }
 
-// answerWants answers the requests of another host.
-func (n *Node) answerWants(to string, wants []string) {
-	if slices.Contains(wants, wantStores) {
+// answerSnapshotRequests answers the snapshot requests of another host.
+func (n *Node) answerSnapshotRequests(to string, requests []string) {
+	if slices.Contains(requests, storesRequest) {
 		n.send(to, &messenger.Message{Stores: n.opts.StoreReports()})
 	}
-	if slices.Contains(wants, wantKept) {
+	if slices.Contains(requests, cacheStateRequest) {
 		n.send(to, n.cacheState())
 	}
-	if slices.Contains(wants, wantAnnounce) {
+	if slices.Contains(requests, announceRequest) {
 		n.emit(Announce{})
 	}
 }
@@ -235,7 +235,7 @@
 			continue
 		}
 		if !news.Full && !news.FromMemory {
-			f.heardPage = true
+			f.receivedPage = true
 			n.state.StoreAnswered(now) // the store has answered another host, so it is reachable
 		}
 		n.applyPage(now, news, now.Add(-news.Age))
--- a/conductor/host.go
+++ b/conductor/host.go
@@ -97,17 +97,17 @@
 	cancel     context.CancelFunc
 	work       sync.WaitGroup
 
-	view    atomic.Pointer[follower.View]
-	hosts   atomic.Pointer[[]tracker.HostRecord]
-	serving atomic.Pointer[activator.Selection] // serving is the selection of hosts that serve callers.
-	cpu     meter
-	unheard atomic.Pointer[map[string]bool] // unheard are hosts known only from their announcements.
+	view        atomic.Pointer[follower.View]
+	hosts       atomic.Pointer[[]tracker.HostRecord]
+	serving     atomic.Pointer[activator.Selection] // serving is the selection of hosts that serve callers.
+	cpu         meter
+	uncontacted atomic.Pointer[map[string]bool] // uncontacted are hosts known only from their announcements.
 	// reportMu keeps reports in order: an older report must not overwrite a newer one.
 	reportMu          sync.Mutex
 	gcPercent         int     // gcPercent is the garbage collector's target percentage.
 	senders           senders // senders are the hosts that send to upstreams or recently did.
 	reportTicks       int
-	quarantineChanged chan struct{} // quarantineChanged signals news for the other hosts.
+	quarantineChanged chan struct{} // quarantineChanged signals changes for the other hosts.
 	reportRequested   chan struct{} // reportRequested signals that a report is due at once.
 	capacityFreed     chan struct{} // capacityFreed signals that upstreams may have room.
 	leaving           atomic.Bool
@@ -146,7 +146,7 @@
 	h.node = h.newNode(self)
 	h.view.Store(&follower.View{})
 	h.hosts.Store(&[]tracker.HostRecord{self})
-	h.unheard.Store(&map[string]bool{})
+	h.uncontacted.Store(&map[string]bool{})
 	// Until the node has selected the serving hosts, this host is none of them. Otherwise each host
 	// of a starting fleet would watch all KV cache stores.
 	h.serving.Store(&activator.Selection{})
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -20,8 +20,8 @@
 	digestSettleTime = time.Second
 )
 
-// heartbeat sends heartbeats and checks for silent hosts. Active hosts hear from each other at
-// short intervals, by heartbeats or load reports; all others at longer ones.
+// heartbeat sends heartbeats and checks for silent hosts. Active hosts exchange messages at
+// short intervals, heartbeats or load reports; all others at longer ones.
 func (n *Node) heartbeat(now time.Time) {
 	if now.Sub(n.lastHeartbeat) < n.opts.Timing.Heartbeat {
 		return
@@ -117,12 +117,12 @@
 		m = m.WithFeedPages(withUnknownAge(m.FeedPages))
 	}
 	if m.Digest != 0 && !m.Full && !slices.Contains(n.hosts.Neighbours(), ev.From) {
-		// A host that counts this one among its neighbours must hear from it, or suspects it.
+		// A host that counts this one among its neighbours must receive messages from it, or suspects it.
 		n.send(ev.From, &messenger.Message{Echo: true})
 	}
 	n.mergeHosts(now, ev.From, m.Hosts)
 	n.notifySuspect(ev.From)
-	n.answerWants(ev.From, m.SnapshotRequests)
+	n.answerSnapshotRequests(ev.From, m.SnapshotRequests)
 	n.sendMissing(now, ev.From, m.FeedRequests)
 	n.receivePages(now, m.FeedPages)
 	if len(m.VersionAges) > 0 {
--- a/conductor/loop.go
+++ b/conductor/loop.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// signalQuarantineChange signals that the quarantine has news for the other hosts.
+// signalQuarantineChange signals that the quarantine has changes for the other hosts.
 func (h *Host) signalQuarantineChange() {
 	select {
 	case h.quarantineChanged <- struct{}{}:
@@ -156,7 +156,7 @@
 	case PublishHosts:
 		h.evictsStores.Store(tracker.RankIndex(a.Active.Hosts(), h.opts.Settings.Host, "keeper") == 0)
 		h.hosts.Store(&a.Hosts)
-		h.unheard.Store(&a.Uncontacted)
+		h.uncontacted.Store(&a.Uncontacted)
 		h.serving.Store(&a.Active)
 		h.budget.SetHosts(h.shareCount())
 		h.watchStores(h.view.Load())
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -58,7 +58,7 @@
 	lastStatus           time.Time            // lastStatus is when the renewer's status was last broadcast.
 	lastRelayed          time.Time            // lastRelayed is when this host last sent its zone a message.
 	lastHosts            time.Time            // lastHosts is when the hosts were last published.
-	wasServing           bool                 // wasServing is whether this host was active in a large fleet.
+	wasActive            bool                 // wasActive is whether this host was active in a large fleet.
 	wasIdle              bool                 // wasIdle is whether this host's last report was empty.
 	foundAt              time.Time            // foundAt is when announcements were last read.
 	firstEvent           time.Time            // firstEvent is the time of the first event.
@@ -236,14 +236,14 @@
 // requestCacheIfActivated requests the state of KV caches from another active host when this one
 // changes from standby to active.
 func (n *Node) requestCacheIfActivated(t *topology) {
-	wasServing := n.wasServing
-	n.wasServing = t.selfActive && !t.small
-	if wasServing || !n.wasServing {
+	wasActive := n.wasActive
+	n.wasActive = t.selfActive && !t.small
+	if wasActive || !n.wasActive {
 		return
 	}
 	for _, h := range t.active {
 		if h != n.opts.Self.Host {
-			n.send(h, &messenger.Message{SnapshotRequests: []string{wantKept}})
+			n.send(h, &messenger.Message{SnapshotRequests: []string{cacheStateRequest}})
 			return
 		}
 	}
--- a/conductor/node_test.go
+++ b/conductor/node_test.go
@@ -108,7 +108,7 @@
 	assert.DeepEqual(t, c.nodes[1].node.view.Accepting("s"), []string{"a"})
 }
 
-// TestRemovalAfterRefusal: after a store outage only one host reads, and the others hear from it.
+// TestRemovalAfterRefusal: after a store outage only one host reads and informs the others.
 // They must treat removed upstreams as removed, not as lapsed.
 func TestRemovalAfterRefusal(t *testing.T) {
 	for first := range 3 {
--- a/conductor/operators.go
+++ b/conductor/operators.go
@@ -29,7 +29,7 @@
 	Hosts     []tracker.HostRecord
 	Upstreams []follower.Upstream
 	Placement placer.Dump
-	Barred    []quarantiner.Entry // Barred are requests that are sent to no upstream any more.
+	Barred    []quarantiner.Entry // Barred are requests that are no longer sent to any upstream.
 	Repeated  []quarantiner.Entry // Repeated are requests under which several upstreams have ended.
 	Suspects  int                 // Suspects counts requests under which upstreams have ended.
 }
--- a/conductor/quarantine.go
+++ b/conductor/quarantine.go
@@ -29,8 +29,8 @@
 	sentAt time.Time // sentAt is when the host was last sent everything.
 }
 
-// broadcastQuarantine sends all hosts this one's news. In a large fleet neighbours get it directly
-// as well, since a relay may be stalled.
+// broadcastQuarantine sends all hosts this one's changes. In a large fleet neighbours get them
+// directly as well, since a relay may be stalled.
 func (n *Node) broadcastQuarantine() {
 	entries := n.opts.Quarantine.TakeChanges(n.now)
 	if len(entries) == 0 {
--- a/conductor/readers.go
+++ b/conductor/readers.go
@@ -12,32 +12,32 @@
 )
 
 // readAge returns the age of a feed from which this host reads it. The first host in rank reads all
-// the time, the others when no page was heard for longer than a long poll.
+// the time, the others when they have received no page for longer than a long poll.
 func (n *Node) readAge(name follower.Feed) time.Duration {
 	t := n.topology()
 	if !t.selfActive {
-		return n.opts.Timing.TakeoverAge + maxReaderPlace*n.opts.Timing.TakeoverStep + t.standbyJitter()
+		return n.opts.Timing.TakeoverAge + maxReaderRank*n.opts.Timing.TakeoverStep + t.standbyJitter()
 	}
-	place := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, readerKey(name)))
-	if place == 0 {
+	rank := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, readerKey(name)))
+	if rank == 0 {
 		return 0
 	}
-	return n.opts.Timing.TakeoverAge + time.Duration(min(place, maxReaderPlace))*n.opts.Timing.TakeoverStep
+	return n.opts.Timing.TakeoverAge + time.Duration(min(rank, maxReaderRank))*n.opts.Timing.TakeoverStep
 }
 
 // continuesReading reports whether this host, which read last, keeps reading although others rank
 // before it, as long as none of them has sent a page. Otherwise the feed would be read at the
 // takeover interval only.
 func (f *feed) continuesReading(now time.Time) bool {
-	return f.soleReader && !f.heardPage && !f.failing && now.Sub(f.currentAt) < soleReaderTTL
+	return f.soleReader && !f.receivedPage && !f.failing && now.Sub(f.currentAt) < soleReaderTTL
 }
 
 // soleReaderTTL is the age from which on this host's last read no longer makes it the reader.
 const soleReaderTTL = 2 * time.Second
 
 const (
-	// maxReaderPlace is the place from which on all hosts read a feed at the same age.
-	maxReaderPlace = 6
+	// maxReaderRank is the rank from which on all hosts read a feed at the same age.
+	maxReaderRank = 6
 	// maxStandbyJitter spreads the reads of standby hosts, so that a partitioned fleet does not
 	// read all at once.
 	maxStandbyJitter = 400 * time.Millisecond
@@ -46,7 +46,7 @@
 
 // standbyJitter returns this host's fraction of maxStandbyJitter.
 func (t *topology) standbyJitter() time.Duration {
-	return maxStandbyJitter * time.Duration(t.standbyPlace%jitterSlots) / jitterSlots
+	return maxStandbyJitter * time.Duration(t.standbyRank%jitterSlots) / jitterSlots
 }
 
 // awaitsPeers reports whether a host that has just started should wait for its peers to send the
@@ -72,19 +72,19 @@
 // reads the feeds.
 func (n *Node) firstReadDelay(t *topology) time.Duration {
 	if !t.selfActive {
-		return standbyReadDelay + time.Duration(t.standbyPlace)*standbyReadStep
+		return standbyReadDelay + time.Duration(t.standbyRank)*standbyReadStep
 	}
-	place := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "reader/start"))
-	if place < initialReaders {
+	rank := max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "reader/start"))
+	if rank < initialReaders {
 		return 0
 	}
-	return activeReadDelay + time.Duration(place)*activeReadStep
+	return activeReadDelay + time.Duration(rank)*activeReadStep
 }
 
 const (
 	initialReaders = 2 // initialReaders is the number of active hosts that don't wait.
 	// activeReadDelay is how long the other active hosts wait, enough for a whole listing over a
-	// slow link; activeReadStep is added for each place.
+	// slow link; activeReadStep is added for each rank.
 	activeReadDelay = 1500 * time.Millisecond
 	activeReadStep  = 100 * time.Millisecond
 	// standbyReadDelay and standbyReadStep are the same for standby hosts. Together these make at
--- a/conductor/record.go
+++ b/conductor/record.go
@@ -58,7 +58,7 @@
 		Str("Upstream", e.Upstream.InstanceID()).Msg(logger.UpstreamEnded)
 }
 
-// logBarred logs a request that is sent to no upstream any more.
+// logBarred logs a request that is no longer sent to any upstream.
 func (h *Host) logBarred(w quarantiner.Entry) {
 	h.counters.barred()
 	h.log.Warn().Stringer("Identity", w.Identity).Strs("Upstreams", w.Ends).Msg(logger.RequestBarred)
--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -16,7 +16,7 @@
 
 // renew runs the renewer's next step.
 func (n *Node) renew(now time.Time) {
-	n.handleCommands(now, n.renewer.Step(now, renewer.Input{View: n.view, HostIndex: n.renewerPlace(),
+	n.handleCommands(now, n.renewer.Step(now, renewer.Input{View: n.view, HostIndex: n.updaterRank(),
 		Busy: n.opts.Busy}))
 	if phases := n.renewer.Phases(now); !maps.Equal(phases, n.phases) {
 		n.phases = phases
@@ -24,15 +24,15 @@
 	}
 }
 
-// maxStandbyPlaces bounds the number of places of standby hosts among those that may give orders.
+// maxStandbyRanks bounds the number of ranks of standby hosts among those that may give orders.
 // Active hosts come first: only they know which engines are busy.
-const maxStandbyPlaces = 8
+const maxStandbyRanks = 8
 
-// renewerPlace returns this host's place among those that may give orders.
-func (n *Node) renewerPlace() int {
+// updaterRank returns this host's rank among those that may give orders.
+func (n *Node) updaterRank() int {
 	t := n.topology()
 	if !t.selfActive {
-		return min(len(t.active), maxStandbyPlaces) + t.standbyPlace%maxStandbyPlaces
+		return min(len(t.active), maxStandbyRanks) + t.standbyRank%maxStandbyRanks
 	}
 	return max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "renewer"))
 }
--- a/conductor/renewal_test.go
+++ b/conductor/renewal_test.go
@@ -32,14 +32,14 @@
 			ev := c.workReport(s)
 			ev.Urgent = urgent
 			c.execute(s, s.node.Handle(c.now, ev))
-			heard := 0
+			informed := 0
 			c.onMessage = func(ev PeerMessage) {
 				if r := ev.Message.Renewal; r != nil && len(r.Renewed) > 0 {
-					heard++
+					informed++
 				}
 			}
 			c.run(500 * time.Millisecond)
-			assert.Assert(t, heard >= hosts-1, "%d of %d hosts heard, urgent %v", heard, hosts, urgent)
+			assert.Assert(t, informed >= hosts-1, "%d of %d hosts heard, urgent %v", informed, hosts, urgent)
 		}
 	}
 }
--- a/conductor/reports.go
+++ b/conductor/reports.go
@@ -52,7 +52,7 @@
 		n.sendAll([]string{t.relay}, "", direct)
 	}
 	if !r.Partial {
-		n.recordOwnUse(now, t, ev.CoresInUse)
+		n.recordLocalUse(now, t, ev.CoresInUse)
 	}
 	if !t.directReports && t.isRelay(n.opts.Self.Host) {
 		n.addToSum(now, n.opts.Self.Host, r)
--- a/conductor/seek.go
+++ b/conductor/seek.go
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, h := range others[:max(0, min(missing, len(others)))] {
-		n.send(h, &messenger.Message{SnapshotRequests: []string{wantAnnounce}})
+		n.send(h, &messenger.Message{SnapshotRequests: []string{announceRequest}})
 	}
 }
 
@@ -145,7 +145,7 @@
 // receiver for the records that differ.
 const bucketsInterval = 500 * time.Millisecond
 
-// greeting returns what a host may lack that has not heard of this one for long. Its buckets ask in
+// greeting returns what a host that has long been without contact to this one may lack. Its buckets ask in
 // turn for what this host lacks.
 func (n *Node) greeting(now time.Time) *messenger.Message {
 	m := &messenger.Message{Full: true, Digest: n.hosts.Digest(), VersionAges: n.state.VersionAges(now),
--- a/conductor/standby_test.go
+++ b/conductor/standby_test.go
@@ -64,8 +64,8 @@
 		s := c.byName[name]
 		assert.Equal(t, s.version, uint64(1), name)
 		for _, o := range c.nodes {
-			_, heard := s.reports[o.name]
-			assert.Assert(t, heard || o == s || o.down, "%s has no report of %s", name, o.name)
+			_, received := s.reports[o.name]
+			assert.Assert(t, received || o == s || o.down, "%s has no report of %s", name, o.name)
 		}
 	}
 }
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -22,7 +22,7 @@
 
 	LongPoll     time.Duration // LongPoll is how long the store waits for the next record.
 	TakeoverAge  time.Duration // TakeoverAge is the age of a feed from which the second host in rank reads it.
-	TakeoverStep time.Duration // TakeoverStep is added to TakeoverAge for each further place.
+	TakeoverStep time.Duration // TakeoverStep is added to TakeoverAge for each further rank.
 	ReadInterval time.Duration // ReadInterval is the least time between two reads, so that records accumulate.
 	// ReadIntervalLarge is ReadInterval in a large fleet, where each page goes to all hosts.
 	ReadIntervalLarge   time.Duration
--- a/conductor/tree.go
+++ b/conductor/tree.go
@@ -30,7 +30,7 @@
 	members       []string   // members are the live hosts of this zone.
 	cells         [][]string // cells divide this zone's active hosts; nil with directReports.
 	ownCell       int        // ownCell is the index of this host's cell.
-	standbyPlace  int        // standbyPlace is this host's place among the standby hosts.
+	standbyRank   int        // standbyRank is this host's rank among the standby hosts.
 }
 
 func (n *Node) topology() *topology {
@@ -61,7 +61,7 @@
 		}
 	}
 	if !t.selfActive {
-		t.standbyPlace = max(0, tracker.RankIndex(n.hosts.Live(), self, "standby"))
+		t.standbyRank = max(0, tracker.RankIndex(n.hosts.Live(), self, "standby"))
 	}
 	if t.directReports {
 		n.hosts.SetActive(n.now, t.serving.Active)
--- a/conductor/use.go
+++ b/conductor/use.go
@@ -20,9 +20,9 @@
 	cores float64
 }
 
-// recordOwnUse records this host's processor use if it is its zone's relay, and otherwise leaves
+// recordLocalUse records this host's processor use if it is its zone's relay, and otherwise leaves
 // reporting the zone's use to the relay.
-func (n *Node) recordOwnUse(now time.Time, t *topology, cores float64) {
+func (n *Node) recordLocalUse(now time.Time, t *topology, cores float64) {
 	if !t.isRelay(n.opts.Self.Host) {
 		n.yieldZoneUse(t)
 		return
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -36,7 +36,7 @@
 	for i := range n.ranges {
 		n.tickRange(now, i)
 	}
-	n.applySteps(now, n.claimant.Tick(now))
+	n.applyClaimantEffects(now, n.claimant.Tick(now))
 }
 
 func (n *Node) tickRange(now time.Time, i int) {
@@ -77,7 +77,7 @@
 	byHost := make(map[string][]claimer.Reply)
 	for _, p := range fx.Send {
 		if p.To == n.opts.Self.Host {
-			n.applySteps(now, n.claimant.HandleReply(now, p.Reply))
+			n.applyClaimantEffects(now, n.claimant.HandleReply(now, p.Reply))
 			continue
 		}
 		byHost[p.To] = append(byHost[p.To], p.Reply)
@@ -87,8 +87,8 @@
 	}
 }
 
-// applySteps settles claims and sends messages as the claimant returned.
-func (n *Node) applySteps(now time.Time, s claimer.ClaimantEffects) {
+// applyClaimantEffects settles claims and sends messages as the claimant returned.
+func (n *Node) applyClaimantEffects(now time.Time, s claimer.ClaimantEffects) {
 	for _, settled := range s.Settled {
 		n.emit(Settle{Settled: settled})
 	}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -87,7 +87,7 @@
 		n.claimMessage(now, ev.From, c)
 	}
 	for _, r := range m.Replies {
-		n.applySteps(now, n.claimant.HandleReply(now, r))
+		n.applyClaimantEffects(now, n.claimant.HandleReply(now, r))
 	}
 	n.sendSnapshots(ev.From, m.SnapshotRequests)
 	for _, r := range m.Records {
@@ -319,18 +319,18 @@
 	if now.Sub(n.lastSnapshotRequest) < snapshotRetryInterval {
 		return
 	}
-	var wants []string
+	var names []string
 	for _, name := range []string{configurer.StreamName, leaser.StreamName} {
 		s := n.streams[name]
 		if s.failing && (!s.fold.Ready() || n.configurationBehind(name)) {
-			wants = append(wants, name)
+			names = append(names, name)
 		}
 	}
-	if len(wants) == 0 {
+	if len(names) == 0 {
 		return
 	}
 	n.lastSnapshotRequest = now
-	n.sendNeighbours("", &messenger.Message{SnapshotRequests: wants})
+	n.sendNeighbours("", &messenger.Message{SnapshotRequests: names})
 }
 
 // configurationBehind reports whether the stream is that of the configuration and
@@ -347,8 +347,8 @@
 	return false
 }
 
-func (n *Node) sendSnapshots(to string, wants []string) {
-	for _, name := range wants {
+func (n *Node) sendSnapshots(to string, names []string) {
+	for _, name := range names {
 		if s := n.streams[name]; s != nil && s.fold.Ready() && !isClaims(name) {
 			cp := s.fold.Snapshot(n.opts.LogRetention)
 			n.emit(Send{To: to, Message: &messenger.Message{Snapshot: &messenger.StreamSnapshot{Stream: name, Checkpoint: cp}}})
--- a/controller/node.go
+++ b/controller/node.go
@@ -161,11 +161,11 @@
 	case LoadReported:
 		n.loadReported(now, ev)
 	case ClaimStarted:
-		n.applySteps(now, n.claimant.Start(now, ev.Request, ev.Deadline))
+		n.applyClaimantEffects(now, n.claimant.Start(now, ev.Request, ev.Deadline))
 	case ClaimAbandoned:
-		n.applySteps(now, n.claimant.Abandon(now, ev.Nonce))
+		n.applyClaimantEffects(now, n.claimant.Abandon(now, ev.Nonce))
 	case ClaimFinished:
-		n.applySteps(now, n.claimant.Finish(now, ev.Outcome))
+		n.applyClaimantEffects(now, n.claimant.Finish(now, ev.Outcome))
 	case ChangePublished:
 		n.publish(ev.Delta)
 	case UsageRead:
--- a/controller/records_test.go
+++ b/controller/records_test.go
@@ -16,9 +16,9 @@
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// TestOwnRecordIsToldByPeer checks that a host's own record that a peer relays counts
+// TestOwnRecordFromPeer checks that a host's own record that a peer relays counts
 // as read back, so that later entries are appended.
-func TestOwnRecordIsToldByPeer(t *testing.T) {
+func TestOwnRecordFromPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := NewNode(Options{
 		Self:      tracker.HostRecord{Host: "a", Incarnation: 1, Peers: "a", Callers: "a"},
--- a/controller/stores.go
+++ b/controller/stores.go
@@ -22,7 +22,7 @@
 	plan        *keeper.Store
 	incarnation uint64
 	next        uint64 // next is the sequence number of the next cache event.
-	exclusive   bool   // exclusive reports whether no other issuer can change the store any more.
+	exclusive   bool   // exclusive reports whether other issuers can no longer change the store.
 	fenced      bool   // fenced reports whether the upstream has accepted this issuer's fencing number.
 	listed      bool   // listed reports whether all segments have been read since.
 }
--- a/exchanger/doc.go
+++ b/exchanger/doc.go
@@ -9,8 +9,8 @@
 // workspace and set the deadline; then attempts are made until one gives an answer
 // or no other attempt is allowed.
 //
-// An attempt did not run, may have run, or ran. Only if no attempt has run is the
-// caller told so, and only then is a request that must run at most once sent again.
+// An attempt did not run, may have run, or ran. Only if no attempt has run does the
+// answer say so, and only then is a request that must run at most once sent again.
 // An answer is forwarded completely or visibly aborted; a resumable stream continues
 // at another upstream after the last event that the caller has received.
 //
--- a/experimenter/claims.go
+++ b/experimenter/claims.go
@@ -75,7 +75,7 @@
 		go cycleFaults(faultCtx, d.Log)
 		owner, others := splitOwner(d)
 		if owner == nil {
-			return res, errors.New("experimenter: nobody owns the range")
+			return res, errors.New("experimenter: no host owns the range")
 		}
 		d.Hosts = others
 		time.AfterFunc(opts.For/2, func() { owner.Close() })
@@ -209,7 +209,7 @@
 func takeOver(ctx context.Context, d *deployment.Deployment) (time.Duration, error) {
 	owner, others := splitOwner(d)
 	if owner == nil {
-		return 0, errors.New("experimenter: nobody owns the range")
+		return 0, errors.New("experimenter: no host owns the range")
 	}
 	d.Hosts = others
 	start := time.Now()
--- a/keeper/doc.go
+++ b/keeper/doc.go
@@ -22,13 +22,13 @@
 // The states are Writing, Sealed, Freeing and Freed, in this order. The issuer reports only
 // sealed segments. A host may refer to reported segments until KeptLease after it sent its
 // query, by its own clock. The issuer orders an upstream to free a segment only after the
-// segment has been Freeing for KeptLease plus the longest read, when no request can refer to it
-// any more. The generation distinguishes a segment from earlier ones of the same name.
+// segment has been Freeing for KeptLease plus the longest read, when no request can still
+// refer to it. The generation distinguishes a segment from earlier ones of the same name.
 //
 // # Usage
 //
 //	chain := keeper.NewChain(keeper.Salt(secret, workspace, model, version), text)
 //	var found keeper.Lookup
 //	index.Lookup(now, chain, &found)
-//	index.Placed(now, upstream, chain)
+//	index.AddPlacement(now, upstream, chain)
 package keeper
--- a/keeper/index.go
+++ b/keeper/index.go
@@ -286,7 +286,7 @@
 }
 
 // Segments returns the stored segments of an upstream that cover the first n blocks of a prompt,
-// in order; nil if there are none or they may not be used any more.
+// in order; nil if there are none or they may no longer be used.
 func (x *Index) Segments(now time.Time, upstream string, c Chain, n int) []Ref {
 	id := x.ID(upstream)
 	if now.After(x.upstreams[id].keptUntil) || !x.covers(id, c, n) {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -61,9 +61,9 @@
 	assert.Equal(t, l.Known, 10) // Reset does not affect which blocks are known.
 }
 
-// TestKeptOnlyWhileTold guards against references to segments after their lease has ended or
+// TestSegmentsRequireLease guards against references to segments after their lease has ended or
 // when a preceding segment is missing.
-func TestKeptOnlyWhileTold(t *testing.T) {
+func TestSegmentsRequireLease(t *testing.T) {
 	x := NewIndex(IndexOptions{})
 	c := NewChain("s", textOf(10, "d"))
 	x.SetKept(KeptSegment{Upstream: "a", Wire: c.Raw(3), Generation: 1, From: 0})
--- a/keeper/store.go
+++ b/keeper/store.go
@@ -35,7 +35,7 @@
 	LinkRate    float64 // LinkRate is the rate of the link to the store in bytes per second.
 	ExportShare float64 // ExportShare is the share of the link rate for exports; default 0.3.
 	// MaxReadTime bounds the time from a request's dispatch to the end of its import; default
-	// LongestWait plus 7 s.
+	// MaxImportWait plus 7 s.
 	MaxReadTime time.Duration
 	MinChance   float64 // MinChance is the minimum Turn.Chance for an export; default 0.05.
 }
@@ -147,7 +147,7 @@
 		return
 	}
 	if parent := s.segments[t.Parent]; t.From > 0 && (parent == nil || parent.state != SegmentSealed) {
-		return // The preceding segment is not in the store any more.
+		return // The preceding segment is no longer in the store.
 	} else if parent != nil {
 		parent.lastUsed = now
 	}
@@ -290,7 +290,7 @@
 	return g.chance / (1 + age)
 }
 
-// freeOrders returns the segments to free now: those to which no request can refer any more, and
+// freeOrders returns the segments to free now: those to which requests can no longer refer, and
 // those whose order to free must be repeated.
 func (s *Store) freeOrders(now time.Time) []Ref {
 	var refs []Ref
@@ -329,7 +329,7 @@
 	s.recordChange(false, name, seg)
 }
 
-// SegmentRemoved processes an upstream's report that a segment is not in its store any more.
+// SegmentRemoved processes an upstream's report that a segment is no longer in its store.
 func (s *Store) SegmentRemoved(name [16]byte, generation uint64) {
 	seg := s.segments[name]
 	if seg == nil || seg.generation != generation {
--- a/placer/exchange.go
+++ b/placer/exchange.go
@@ -44,7 +44,7 @@
 	// Begun are prefills started since the last report.
 	Begun []PrefillStart `cbor:"8,keyasint,omitempty"`
 	// Partial reports that Work has only upstreams whose work has changed since the last report,
-	// including those that have none any more, and that Stores is unchanged.
+	// including those that no longer have any, and that Stores is unchanged.
 	Partial bool `cbor:"6,keyasint,omitempty"`
 }
 
--- a/quarantiner/ledger.go
+++ b/quarantiner/ledger.go
@@ -222,7 +222,7 @@
 	return r != nil && r.barred()
 }
 
-// update applies do to a record, of which news arrived at the given time, and reports whether it changed;
+// update applies do to a record, of which an entry arrived at the given time, and reports whether it changed;
 // l.mu is held.
 func (l *Ledger) update(at time.Time, id Identity, do func(r *record) bool) bool {
 	r := l.records[id]
--- a/renewer/turns_test.go
+++ b/renewer/turns_test.go
@@ -53,9 +53,9 @@
 	return out
 }
 
-// TestOrdersAreToldAfterTheirEnd checks that a holder reports an order also if the engine already had
+// TestFinishedOrdersAreReported checks that a holder reports an order also if the engine already had
 // the version, so that the next holder waits one turn.
-func TestOrdersAreToldAfterTheirEnd(t *testing.T) {
+func TestFinishedOrdersAreReported(t *testing.T) {
 	a, b := newStepper("a"), newStepper("b")
 	orders := a.collectOrders(3*simTick, oneEngine(1, 2)) // read the lease, write it, order
 	assert.Equal(t, len(orders), 1)
@@ -73,18 +73,18 @@
 	assert.Equal(t, len(b.collectOrders(simTurn, oneEngine(2, 3))), 1)
 }
 
-// TestStartedAnewWaitsATurn checks that a restarted process that finds its own host's record waits one
+// TestRestartedHolderWaitsATurn checks that a restarted process that finds its own host's record waits one
 // turn, as it does not know the orders of earlier holders.
-func TestStartedAnewWaitsATurn(t *testing.T) {
+func TestRestartedHolderWaitsATurn(t *testing.T) {
 	s := newStepper("a")
 	s.r.LeaseRead(s.now, Lease{Record: Record{Host: "a", Nonce: 3}, End: 7}, nil)
 	assert.Equal(t, len(s.collectOrders(simTurn, oneEngine(1, 2))), 0, "ordered right after its start")
 	assert.Equal(t, len(s.collectOrders(time.Second, oneEngine(1, 2))), 1)
 }
 
-// TestHeirWaitsAsItsPredecessorHadTo: b takes over from a silent holder and releases the lease before its
+// TestNextHolderInheritsWait: b takes over from a silent holder and releases the lease before its
 // own wait is over. The next holder must not order before b could have.
-func TestHeirWaitsAsItsPredecessorHadTo(t *testing.T) {
+func TestNextHolderInheritsWait(t *testing.T) {
 	silent := Lease{Record: Record{Host: "a", Nonce: 3}, End: 7}
 	b, c := newStepper("b"), newStepper("c")
 	seen := b.now
--- a/server/forward.go
+++ b/server/forward.go
@@ -18,7 +18,7 @@
 )
 
 // delivery is the state of a request over its attempts. It implements
-// dispatcher.Way.
+// dispatcher.Attempter.
 type delivery struct {
 	server       *Server
 	x            *Exchange
@@ -51,10 +51,10 @@
 	return d.failureOutcome(ctx, &tries)
 }
 
-// Withdraw implements dispatcher.Way.
+// Withdraw implements dispatcher.Attempter.
 func (d *delivery) Withdraw() bool { return d.server.opts.Budget.Withdraw() }
 
-// Continues implements dispatcher.Way: a partly sent response can be continued by
+// Continues implements dispatcher.Attempter: a partly sent response can be continued by
 // another upstream if it is a stream and tokens are missing.
 func (d *delivery) Continues() bool {
 	prompt := d.x.Call.Prompt
@@ -67,7 +67,7 @@
 	return d.x.claimExpiry.IsZero() || d.server.opts.Timer.Now().Before(d.x.claimExpiry)
 }
 
-// Choose implements dispatcher.Way.
+// Choose implements dispatcher.Attempter.
 func (d *delivery) Choose(context.Context) (choice, bool) {
 	i, decision, ok := d.choose()
 	if !ok {
@@ -81,7 +81,7 @@
 	return choice{upstream: &d.x.Pool.Upstreams[i], decision: decision}, true
 }
 
-// Try implements dispatcher.Way.
+// Try implements dispatcher.Attempter.
 func (d *delivery) Try(ctx context.Context, c choice) dispatcher.Result {
 	s, x, up := d.server, d.x, c.upstream
 	d.outcome.Attempts++
--- a/server/server.go
+++ b/server/server.go
@@ -50,7 +50,7 @@
 	// Lookup sets the fields of req about a cached prompt of a workspace.
 	Lookup(now time.Time, workspace string, pool *publisher.Pool, chain keeper.Chain, req *router.Request)
 	// Segments returns the segments of the first tokens of a prompt that an upstream
-	// can restore; nil if there are none any more.
+	// can restore; nil if there are none left.
 	Segments(now time.Time, upstream string, chain keeper.Chain, tokens int) []wire.SegmentRef
 	// RecordPlacement records that an upstream has computed a prompt.
 	RecordPlacement(now time.Time, p Placement)
--- a/timer/clock_test.go
+++ b/timer/clock_test.go
@@ -80,7 +80,7 @@
 	assert.Equal(t, len(c.pending), 0)
 }
 
-// TestWithDeadline checks that an expired deadline can be told from a canceled parent, also through a child
+// TestWithDeadline checks that an expired deadline can be distinguished from a canceled parent, also through a child
 // context.
 func TestWithDeadline(t *testing.T) {
 	m := NewManual(time.Unix(1000, 0))
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -7,7 +7,7 @@
 // # Suspended machines
 //
 // While a machine is suspended, its monotonic clock and the runtime's timers stop, but
-// the time of other machines goes on. A lease or deadline measured on the monotonic
+// the time of other machines advances. A lease or deadline measured on the monotonic
 // clock would seem to last longer than it does. System includes the suspended time: Now
 // advances by it, and calls scheduled by After that became due run as soon as the
 // machine resumes. A suspension thus looks like a pause of the process only.
--- a/tracker/active.go
+++ b/tracker/active.go
@@ -19,8 +19,8 @@
 	h.neighbourCache = nil
 	until := now.Add(activationGracePeriod)
 	for name := range h.frequentNeighbours() {
-		if e := h.records[name]; !before[name] && e.heardAt.Before(until) {
-			e.heardAt = until
+		if e := h.records[name]; !before[name] && e.lastContact.Before(until) {
+			e.lastContact = until
 		}
 	}
 }
@@ -36,8 +36,8 @@
 	return out
 }
 
-// activationGracePeriod is added to the suspect timeout of newly active hosts: news of the activation
-// must reach both sides over a few hops before they send each other heartbeats.
+// activationGracePeriod is added to the suspect timeout of newly active hosts: the activation
+// must become known on both sides over a few hops before they send each other heartbeats.
 const activationGracePeriod = 1500 * time.Millisecond
 
 // FrequentHeartbeats reports whether a host is expected to send this one heartbeats at the short interval, which
--- a/tracker/host.go
+++ b/tracker/host.go
@@ -46,7 +46,7 @@
 type hostEntry struct {
 	record      HostRecord
 	changedAt   time.Time
-	heardAt     time.Time // heardAt is the time of the last direct contact.
+	lastContact time.Time // lastContact is the time of the last direct contact.
 	contacted   bool      // contacted reports whether there was any direct contact.
 	suspectedAt time.Time // suspectedAt is when this host last suspected it.
 
@@ -56,11 +56,11 @@
 
 func (h *Hosts) newEntry(now time.Time, r HostRecord) *hostEntry {
 	return &hostEntry{
-		record:    r,
-		changedAt: now,
-		heardAt:   now,
-		distance:  xxhash.Sum64String(r.Host) - xxhash.Sum64String(h.self.Host),
-		order:     h.rendezvousOrder(r),
+		record:      r,
+		changedAt:   now,
+		lastContact: now,
+		distance:    xxhash.Sum64String(r.Host) - xxhash.Sum64String(h.self.Host),
+		order:       h.rendezvousOrder(r),
 	}
 }
 
@@ -198,7 +198,7 @@
 		return nil
 	}
 	if r.Incarnation > e.record.Incarnation {
-		e.heardAt = now
+		e.lastContact = now
 	}
 	h.set(e, r)
 	e.changedAt = now
@@ -228,12 +228,12 @@
 		return false
 	}
 	first := !e.contacted
-	e.heardAt, e.contacted = now, true
+	e.lastContact, e.contacted = now, true
 	return first
 }
 
 // Uncontacted returns the neighbours without direct contact since this host started. They are known from
-// announcements or peers only and may not exist any more.
+// announcements or peers only and may no longer exist.
 func (h *Hosts) Uncontacted() map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range h.Neighbours() {
@@ -276,7 +276,7 @@
 		if s := e.record.State; s != HostLive && s != HostLeaving {
 			continue
 		}
-		silent := now.Sub(e.heardAt) > h.suspectTimeout(name)
+		silent := now.Sub(e.lastContact) > h.suspectTimeout(name)
 		mayRepeat := now.Sub(e.suspectedAt) > h.opts.GoneAfter
 		if silent && mayRepeat {
 			e.suspectedAt = now
