--- a/appender/queue.go
+++ b/appender/queue.go
@@ -23,7 +23,7 @@
 import (
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // maxRecordBytes bounds the size of a record, unless a single entry exceeds it.
@@ -48,8 +48,8 @@
 	writer   string
 	interval time.Duration
 
-	pending  []folder.Entry
-	current  folder.Record
+	pending  []replayer.Entry
+	current  replayer.Record
 	phase    phase
 	sequence uint64
 	lastSent time.Time
@@ -64,7 +64,7 @@
 }
 
 // Add appends entries to the queue.
-func (q *Queue) Add(entries ...folder.Entry) { q.pending = append(q.pending, entries...) }
+func (q *Queue) Add(entries ...replayer.Entry) { q.pending = append(q.pending, entries...) }
 
 // Len returns the number of entries that were not read back yet.
 func (q *Queue) Len() int { return len(q.pending) + len(q.current.Entries) }
@@ -73,19 +73,19 @@
 func (q *Queue) Appends() uint64 { return q.appends }
 
 // Next returns the record to append now and reports whether there is one.
-func (q *Queue) Next(now time.Time) (folder.Record, bool) {
+func (q *Queue) Next(now time.Time) (replayer.Record, bool) {
 	switch q.phase {
 	case phaseIdle:
 		if len(q.pending) == 0 || now.Sub(q.lastSent) < q.interval {
-			return folder.Record{}, false
+			return replayer.Record{}, false
 		}
 		q.beginRecord()
 	case phaseAbsent:
 		if now.Sub(q.lastSent) < retryInterval {
-			return folder.Record{}, false
+			return replayer.Record{}, false
 		}
 	default:
-		return folder.Record{}, false
+		return replayer.Record{}, false
 	}
 	q.phase = phaseSent
 	q.lastSent = now
@@ -113,8 +113,8 @@
 		n++
 	}
 	q.sequence++
-	q.current = folder.Record{Writer: q.writer, Sequence: q.sequence, Entries: q.pending[:n:n]}
-	q.pending = append([]folder.Entry(nil), q.pending[n:]...)
+	q.current = replayer.Record{Writer: q.writer, Sequence: q.sequence, Entries: q.pending[:n:n]}
+	q.pending = append([]replayer.Entry(nil), q.pending[n:]...)
 }
 
 // AppendAnswered processes the answer to an append. After an error the record may or may not be in the log.
@@ -131,11 +131,11 @@
 
 // StreamRead processes a read of the stream: its start time, whether it reached the end of the stream,
 // and the records that were applied.
-func (q *Queue) StreamRead(began time.Time, caughtUp bool, applied []folder.Applied) {
+func (q *Queue) StreamRead(began time.Time, caughtUp bool, applied []replayer.Applied) {
 	for _, a := range applied {
 		if a.Writer == q.writer && a.Sequence == q.sequence && q.phase != phaseIdle {
 			q.phase = phaseIdle
-			q.current = folder.Record{}
+			q.current = replayer.Record{}
 		}
 	}
 	if q.phase == phaseUnanswered && caughtUp && began.After(q.failedAt) {
--- a/appender/queue_test.go
+++ b/appender/queue_test.go
@@ -10,14 +10,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 var now = time.Unix(1000, 0)
 
-func entry(i int) folder.Entry { return folder.NewEntry("E", i) }
+func entry(i int) replayer.Entry { return replayer.NewEntry("E", i) }
 
-func applied(rec folder.Record) []folder.Applied { return []folder.Applied{{Record: rec}} }
+func applied(rec replayer.Record) []replayer.Applied { return []replayer.Applied{{Record: rec}} }
 
 // TestGroupCommit checks that entries added while a record is in flight share the next record.
 func TestGroupCommit(t *testing.T) {
--- a/claimer/owner.go
+++ b/claimer/owner.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // Envelope is a reply with its recipient.
@@ -17,7 +17,7 @@
 
 // Effects are the actions that an owner requires of its caller.
 type Effects struct {
-	Append []folder.Entry // Append holds entries for the range's stream, in order.
+	Append []replayer.Entry // Append holds entries for the range's stream, in order.
 	Send   []Envelope
 }
 
@@ -86,7 +86,7 @@
 	o.reset()
 	o.epoch = epoch
 	if epoch > o.table.Epoch() {
-		fx.Append = append(fx.Append, folder.NewEntry(KindOpen, Open{Epoch: epoch}))
+		fx.Append = append(fx.Append, replayer.NewEntry(KindOpen, Open{Epoch: epoch}))
 	}
 	return fx
 }
@@ -118,7 +118,7 @@
 	switch {
 	case !ok || e.State == StateNotRun && e.Nonce != r.Nonce:
 		o.pending[r.Key] = pendingClaim{request: r, from: from}
-		fx.Append = append(fx.Append, folder.NewEntry(KindClaim, Claim{Epoch: o.epoch, Request: r}))
+		fx.Append = append(fx.Append, replayer.NewEntry(KindClaim, Claim{Epoch: o.epoch, Request: r}))
 		return fx
 	case e.State == StateClaimed:
 		o.startTimeout(now, r.Key)
@@ -199,12 +199,12 @@
 		return fx
 	}
 	o.awaitingAck[out.Nonce] = from
-	fx.Append = append(fx.Append, folder.NewEntry(KindOutcome, Settle{Epoch: o.epoch, Outcome: out}))
+	fx.Append = append(fx.Append, replayer.NewEntry(KindOutcome, Settle{Epoch: o.epoch, Outcome: out}))
 	return fx
 }
 
 // Applied processes a record of the stream after the table has applied it.
-func (o *Owner) Applied(now time.Time, rec folder.Applied) Effects {
+func (o *Owner) Applied(now time.Time, rec replayer.Applied) Effects {
 	var fx Effects
 	if o.epoch == 0 {
 		return fx
@@ -309,11 +309,11 @@
 		}
 		o.awaitingAck[e.Nonce] = ""
 		s := Settle{Epoch: o.epoch, Outcome: Outcome{Key: k, Nonce: e.Nonce, State: StateUnknown}}
-		fx.Append = append(fx.Append, folder.NewEntry(KindOutcome, s))
+		fx.Append = append(fx.Append, replayer.NewEntry(KindOutcome, s))
 	}
 	if now.Sub(o.lastExpiry) >= o.policy.Window/8 {
 		o.lastExpiry = now
-		fx.Append = append(fx.Append, folder.NewEntry(KindExpire, Expire{Epoch: o.epoch, Before: logTime.Add(-o.policy.Window)}))
+		fx.Append = append(fx.Append, replayer.NewEntry(KindExpire, Expire{Epoch: o.epoch, Before: logTime.Add(-o.policy.Window)}))
 	}
 	return fx
 }
--- a/claimer/table.go
+++ b/claimer/table.go
@@ -6,15 +6,15 @@
 import (
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // Kinds of entries in a range's stream.
 const (
-	KindOpen    folder.Kind = "Open"
-	KindClaim   folder.Kind = "Claim"
-	KindOutcome folder.Kind = "Outcome"
-	KindExpire  folder.Kind = "Expire"
+	KindOpen    replayer.Kind = "Open"
+	KindClaim   replayer.Kind = "Claim"
+	KindOutcome replayer.Kind = "Outcome"
+	KindExpire  replayer.Kind = "Expire"
 )
 
 // Open begins the epoch of a new owner.
@@ -49,7 +49,7 @@
 	Answer *Answer   `cbor:",omitempty"`
 }
 
-// Table holds the state of the keys of one range. It implements folder.State.
+// Table holds the state of the keys of one range. It implements replayer.State.
 type Table struct {
 	epoch uint64
 	owner string
@@ -80,8 +80,8 @@
 	return e, ok
 }
 
-// Apply implements folder.State.
-func (t *Table) Apply(at folder.Position, writer string, e folder.Entry) {
+// Apply implements replayer.State.
+func (t *Table) Apply(at replayer.Position, writer string, e replayer.Entry) {
 	switch e.Kind {
 	case KindOpen:
 		var o Open
@@ -110,7 +110,7 @@
 	return epoch == t.epoch && writer == t.owner
 }
 
-func (t *Table) claim(at folder.Position, c Claim) {
+func (t *Table) claim(at replayer.Position, c Claim) {
 	if old, ok := t.keys[c.Key]; ok && old.State != StateNotRun {
 		return
 	}
@@ -119,7 +119,7 @@
 
 // settle sets the outcome of a claim. Done and NotRun are final; the claimant may still correct
 // Unknown.
-func (t *Table) settle(at folder.Position, s Settle) {
+func (t *Table) settle(at replayer.Position, s Settle) {
 	e, ok := t.keys[s.Key]
 	if !ok || e.Nonce != s.Nonce || e.State == StateDone || e.State == StateNotRun {
 		return
@@ -139,15 +139,15 @@
 	}
 }
 
-// EncodeState implements folder.State.
+// EncodeState implements replayer.State.
 func (t *Table) EncodeState() []byte {
-	return folder.EncodeCBOR(tableImage{Epoch: t.epoch, Owner: t.owner, Keys: t.keys})
+	return replayer.EncodeCBOR(tableImage{Epoch: t.epoch, Owner: t.owner, Keys: t.keys})
 }
 
-// DecodeState implements folder.State.
+// DecodeState implements replayer.State.
 func (t *Table) DecodeState(b []byte) error {
 	var img tableImage
-	if err := folder.DecodeCBOR(b, &img); err != nil {
+	if err := replayer.DecodeCBOR(b, &img); err != nil {
 		return err
 	}
 	if img.Keys == nil {
--- a/claimer/table_test.go
+++ b/claimer/table_test.go
@@ -9,24 +9,24 @@
 
 	"gotest.tools/v3/assert"
 
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/internal/foldcheck"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
-func claimOf(epoch uint64, key, nonce string) folder.Entry {
-	return folder.NewEntry(KindClaim, Claim{Epoch: epoch, Request: Request{Key: NewKey("w", key), Nonce: nonce}})
+func claimOf(epoch uint64, key, nonce string) replayer.Entry {
+	return replayer.NewEntry(KindClaim, Claim{Epoch: epoch, Request: Request{Key: NewKey("w", key), Nonce: nonce}})
 }
 
-func settleOf(epoch uint64, key, nonce string, s State) folder.Entry {
-	return folder.NewEntry(KindOutcome, Settle{Epoch: epoch, Outcome: Outcome{Key: NewKey("w", key), Nonce: nonce, State: s}})
+func settleOf(epoch uint64, key, nonce string, s State) replayer.Entry {
+	return replayer.NewEntry(KindOutcome, Settle{Epoch: epoch, Outcome: Outcome{Key: NewKey("w", key), Nonce: nonce, State: s}})
 }
 
 func TestTableRestores(t *testing.T) {
-	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.WrittenEntry{
-		{Writer: "a", Entry: folder.NewEntry(KindOpen, Open{Epoch: 3})},
+	foldcheck.Run(t, func() replayer.State { return NewTable() }, []foldcheck.WrittenEntry{
+		{Writer: "a", Entry: replayer.NewEntry(KindOpen, Open{Epoch: 3})},
 		{Writer: "a", Entry: claimOf(3, "k", "n1")},
 		{Writer: "a", Entry: settleOf(3, "k", "n1", StateUnknown)},
-		{Writer: "b", Entry: folder.NewEntry(KindOpen, Open{Epoch: 9})},
+		{Writer: "b", Entry: replayer.NewEntry(KindOpen, Open{Epoch: 9})},
 		{Writer: "a", Entry: claimOf(3, "late", "n2")},
 		{Writer: "b", Entry: settleOf(9, "k", "n1", StateDone)},
 		{Writer: "b", Entry: claimOf(9, "l", "n3")},
@@ -35,7 +35,7 @@
 
 // TestTable checks the state of one key after a sequence of entries.
 func TestTable(t *testing.T) {
-	open := func(epoch uint64) folder.Entry { return folder.NewEntry(KindOpen, Open{Epoch: epoch}) }
+	open := func(epoch uint64) replayer.Entry { return replayer.NewEntry(KindOpen, Open{Epoch: epoch}) }
 	for _, c := range []struct {
 		name    string
 		entries []foldcheck.WrittenEntry
@@ -54,7 +54,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			table := NewTable()
 			for i, w := range c.entries {
-				table.Apply(folder.Position{Offset: uint64(i)}, w.Writer, w.Entry)
+				table.Apply(replayer.Position{Offset: uint64(i)}, w.Writer, w.Entry)
 			}
 			e, _ := table.Lookup(NewKey("w", "k"))
 			assert.Equal(t, e.State, c.state)
--- a/configurer/configurer_test.go
+++ b/configurer/configurer_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // examples returns the documents in the examples directory.
@@ -76,7 +76,7 @@
 	next.Workspaces[4000].Burst += 7
 	delta, err := NewDelta("id", "author", 1, &d, &next)
 	assert.NilError(t, err)
-	assert.Assert(t, len(folder.NewEntry(KindDelta, delta).Body) < 512)
+	assert.Assert(t, len(replayer.NewEntry(KindDelta, delta).Body) < 512)
 	got, err := delta.ApplyTo(&d)
 	assert.NilError(t, err)
 	assert.Equal(t, got.Digest(), next.Digest())
@@ -90,7 +90,7 @@
 	apply := func(id string, base uint64, from, to *Document) Result {
 		delta, err := NewDelta(id, "a", base, from, to)
 		assert.NilError(t, err)
-		s.Apply(folder.Position{Offset: base}, "w", folder.NewEntry(KindDelta, delta))
+		s.Apply(replayer.Position{Offset: base}, "w", replayer.NewEntry(KindDelta, delta))
 		r, ok := s.Result(id)
 		assert.Assert(t, ok)
 		return r
--- a/configurer/fold.go
+++ b/configurer/fold.go
@@ -6,14 +6,14 @@
 import (
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // StreamName is the name of the stream of configuration changes in the log.
 const StreamName = "Configuration"
 
 // KindDelta is the kind of entries that hold a Delta.
-const KindDelta folder.Kind = "Delta"
+const KindDelta replayer.Kind = "Delta"
 
 // Fate is the status of a published change after it was read from the log.
 type Fate string
@@ -40,7 +40,7 @@
 const maxResults = 256
 
 // State holds the document in force and the results of the latest changes, computed from the
-// stream of changes. It implements folder.State. The zero value is revision 0 without a document.
+// stream of changes. It implements replayer.State. The zero value is revision 0 without a document.
 type State struct {
 	revision uint64
 	document *Document
@@ -72,8 +72,8 @@
 	return Result{}, false
 }
 
-// Apply implements folder.State. It ignores duplicates of the latest changes.
-func (s *State) Apply(at folder.Position, _ string, e folder.Entry) {
+// Apply implements replayer.State. It ignores duplicates of the latest changes.
+func (s *State) Apply(at replayer.Position, _ string, e replayer.Entry) {
 	var d Delta
 	if e.Kind != KindDelta || !e.Decode(&d) {
 		return
@@ -97,19 +97,19 @@
 	}
 }
 
-// EncodeState implements folder.State.
+// EncodeState implements replayer.State.
 func (s *State) EncodeState() []byte {
 	img := stateImage{Revision: s.revision, Results: s.results}
 	if s.document != nil {
 		img.Document = s.document.keyed()
 	}
-	return folder.EncodeCBOR(img)
+	return replayer.EncodeCBOR(img)
 }
 
-// DecodeState implements folder.State.
+// DecodeState implements replayer.State.
 func (s *State) DecodeState(b []byte) error {
 	var img stateImage
-	if err := folder.DecodeCBOR(b, &img); err != nil {
+	if err := replayer.DecodeCBOR(b, &img); err != nil {
 		return err
 	}
 	var doc *Document
--- a/connector/log.go
+++ b/connector/log.go
@@ -15,7 +15,7 @@
 
 	"github.com/pkg/errors"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // maxResponseBytes bounds the body of a response.
@@ -62,17 +62,17 @@
 
 // Read returns up to limit records from an offset on. If there are none, it waits
 // up to wait for one.
-func (l *Log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (folder.Page, error) {
+func (l *Log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (replayer.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout+wait)
 	defer cancel()
 	u := fmt.Sprintf("%s?From=%d&Limit=%d&Wait=%s", l.url(stream), from, limit, wait)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
-		return folder.Page{}, errors.Wrap(err, "connector: read")
+		return replayer.Page{}, errors.Wrap(err, "connector: read")
 	}
-	var p folder.Page
+	var p replayer.Page
 	if err := doJSON(l.client, req, &p); err != nil {
-		return folder.Page{}, errors.Wrap(err, "connector: read")
+		return replayer.Page{}, errors.Wrap(err, "connector: read")
 	}
 	return p, nil
 }
--- a/controller/checkpoints.go
+++ b/controller/checkpoints.go
@@ -8,17 +8,17 @@
 
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/leaser"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // checkpointsPerRetention is the number of checkpoints written per retention time
 // of the log.
 const checkpointsPerRetention = 4
 
-func hasCheckpoint(rec folder.Applied) bool {
+func hasCheckpoint(rec replayer.Applied) bool {
 	for _, e := range rec.Entries {
-		if e.Kind == folder.KindCheckpoint {
+		if e.Kind == replayer.KindCheckpoint {
 			return true
 		}
 	}
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/claimer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/messenger"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // claimRange is the state of a range of claims that this host owns.
@@ -50,7 +50,7 @@
 		c = &claimRange{index: i, table: claimer.NewTable()}
 		c.owner = claimer.NewOwner(n.writer, c.table, n.claimPolicy())
 		n.ranges[i] = c
-		n.follow(now, name, c.table, n.opts.GroupCommit, func(now time.Time, rec folder.Applied) {
+		n.follow(now, name, c.table, n.opts.GroupCommit, func(now time.Time, rec replayer.Applied) {
 			n.applyEffects(now, c, c.owner.Applied(now, rec))
 		})
 		return
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
@@ -22,11 +22,11 @@
 		return
 	}
 	n.pendingChanges[d.ID] = true
-	n.streams[configurer.StreamName].queue.Add(folder.NewEntry(configurer.KindDelta, d))
+	n.streams[configurer.StreamName].queue.Add(replayer.NewEntry(configurer.KindDelta, d))
 }
 
 // configurationApplied handles a record that was folded into the configuration.
-func (n *Node) configurationApplied(now time.Time, rec folder.Applied) {
+func (n *Node) configurationApplied(now time.Time, rec replayer.Applied) {
 	for _, e := range rec.Entries {
 		var d configurer.Delta
 		if e.Kind != configurer.KindDelta || !e.Decode(&d) {
--- a/controller/event.go
+++ b/controller/event.go
@@ -9,11 +9,11 @@
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
 	"amaranthgate.example/amaranthgate/connector"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/internal/wire"
 	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/messenger"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/router"
 )
 
@@ -26,7 +26,7 @@
 // LogRead is a page that was read from a stream.
 type LogRead struct {
 	Stream string
-	Page   folder.Page
+	Page   replayer.Page
 	Began  time.Time // Began is when the read was sent.
 }
 
@@ -95,7 +95,7 @@
 
 // EntriesReported appends entries to the stream of reports.
 type EntriesReported struct {
-	Entries []folder.Entry
+	Entries []replayer.Entry
 }
 
 // CacheRead is the response to a CacheRequest: events, or all segments. Both are
@@ -153,7 +153,7 @@
 // Append appends a record to a stream. AppendDone must follow.
 type Append struct {
 	Stream string
-	Record folder.Record
+	Record replayer.Record
 }
 
 // Send sends a message to another host, on a best-effort basis.
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -10,9 +10,9 @@
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
 	"amaranthgate.example/amaranthgate/connector"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/leaser"
 	"amaranthgate.example/amaranthgate/messenger"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/router"
 	"amaranthgate.example/amaranthgate/tracker"
 )
@@ -372,7 +372,7 @@
 	if s == nil || isClaims(r.Stream) || r.Record.Offset != s.fold.Next() || !s.fold.Ready() {
 		return
 	}
-	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.RawRecord{r.Record}})
+	applied := n.applyPage(now, s, r.Stream, replayer.Page{Next: r.Record.Offset + 1, Records: []replayer.RawRecord{r.Record}})
 	// The record may be this host's own. The next read of the log starts after it, so
 	// the queue must see it here, or it would wait for it forever.
 	s.queue.StreamRead(time.Time{}, false, applied)
--- a/controller/node.go
+++ b/controller/node.go
@@ -10,12 +10,12 @@
 	"amaranthgate.example/amaranthgate/appender"
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/leaser"
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/publisher"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/reporter"
 	"amaranthgate.example/amaranthgate/tracker"
 )
@@ -46,9 +46,9 @@
 
 // streamState is the state of a stream that this host reads.
 type streamState struct {
-	fold           *folder.Stream
+	fold           *replayer.Stream
 	queue          *appender.Queue
-	onApplied      func(now time.Time, rec folder.Applied)
+	onApplied      func(now time.Time, rec replayer.Applied)
 	failing        bool      // failing reports whether the last read failed.
 	lastCheckpoint time.Time // lastCheckpoint is when a checkpoint was last read or appended.
 }
@@ -225,12 +225,12 @@
 }
 
 // follow starts reading a stream and folding it into state.
-func (n *Node) follow(now time.Time, name string, state folder.State, interval time.Duration, applied func(time.Time, folder.Applied)) {
+func (n *Node) follow(now time.Time, name string, state replayer.State, interval time.Duration, applied func(time.Time, replayer.Applied)) {
 	if n.streams[name] != nil {
 		return
 	}
 	n.streams[name] = &streamState{
-		fold:           folder.NewStream(name, state),
+		fold:           replayer.NewStream(name, state),
 		queue:          appender.NewQueue(n.writer, interval),
 		onApplied:      applied,
 		lastCheckpoint: now,
@@ -254,7 +254,7 @@
 
 // applyPage folds a page. Records of the configuration are relayed to the
 // neighbours, so that a change takes effect on all hosts once one has read it.
-func (n *Node) applyPage(now time.Time, s *streamState, stream string, p folder.Page) []folder.Applied {
+func (n *Node) applyPage(now time.Time, s *streamState, stream string, p replayer.Page) []replayer.Applied {
 	wasReady := s.fold.Ready()
 	applied := s.fold.Feed(p)
 	for _, rec := range applied {
@@ -272,7 +272,7 @@
 // maxRelayedRecords bounds the number of records in a message.
 const maxRelayedRecords = 16
 
-func (n *Node) relayRecords(stream string, records []folder.RawRecord, from uint64) {
+func (n *Node) relayRecords(stream string, records []replayer.RawRecord, from uint64) {
 	m := &messenger.Message{}
 	for _, r := range records {
 		if r.Offset >= from && len(m.Records) < maxRelayedRecords {
--- a/controller/records_test.go
+++ b/controller/records_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/publisher"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
@@ -27,15 +27,15 @@
 	})
 	n.Start(now)
 	stream := configurer.StreamName
-	n.Handle(now, LogRead{Stream: stream, Began: now, Page: folder.Page{}})
+	n.Handle(now, LogRead{Stream: stream, Began: now, Page: replayer.Page{}})
 	s := n.streams[stream]
 	assert.Assert(t, s.fold.Ready())
-	s.queue.Add(folder.NewEntry(configurer.KindDelta, configurer.Delta{ID: "c1"}))
+	s.queue.Add(replayer.NewEntry(configurer.KindDelta, configurer.Delta{ID: "c1"}))
 	rec, ok := s.queue.Next(now)
 	assert.Assert(t, ok)
 	n.Handle(now, AppendDone{Stream: stream, Sequence: rec.Sequence})
 	assert.Equal(t, s.queue.Len(), 1)
-	relayed := folder.RawRecord{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
+	relayed := replayer.RawRecord{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
 	n.Handle(now, PeerMessage{From: "b", Message: &messenger.Message{Records: []messenger.StreamRecord{{Stream: stream, Record: relayed}}}})
 	assert.Equal(t, s.queue.Len(), 0)
 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/reporter"
 )
 
@@ -16,7 +16,7 @@
 func (n *Node) followReports(now time.Time) {
 	if n.reports == nil {
 		n.reports = reporter.NewTable()
-		n.follow(now, reportStream, n.reports, reportCommitInterval, func(time.Time, folder.Applied) {})
+		n.follow(now, reportStream, n.reports, reportCommitInterval, func(time.Time, replayer.Applied) {})
 	}
 }
 
@@ -25,7 +25,7 @@
 
 // report appends outcomes. The host must follow the stream to read its own records
 // back.
-func (n *Node) report(now time.Time, entries []folder.Entry) {
+func (n *Node) report(now time.Time, entries []replayer.Entry) {
 	n.followReports(now)
 	n.streams[reportStream].queue.Add(entries...)
 }
--- a/controller/simhost_test.go
+++ b/controller/simhost_test.go
@@ -9,8 +9,8 @@
 
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/connector"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/messenger"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // simHost is a simulated process of a host. It executes the actions of its node with
@@ -210,7 +210,7 @@
 			return
 		}
 		st := s.stream(stream)
-		p := folder.Page{Earliest: st.earliest, Next: st.earliest + uint64(len(st.records))}
+		p := replayer.Page{Earliest: st.earliest, Next: st.earliest + uint64(len(st.records))}
 		f.from = max(f.from, st.earliest)
 		tail := st.records[f.from-st.earliest:]
 		p.Records = append(p.Records, tail[:min(64, len(tail))]...)
--- a/controller/simulation_test.go
+++ b/controller/simulation_test.go
@@ -11,8 +11,8 @@
 
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/publisher"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
@@ -50,7 +50,7 @@
 
 type simStream struct {
 	earliest uint64
-	records  []folder.RawRecord
+	records  []replayer.RawRecord
 }
 
 // simAttempt is one request that may run only once.
@@ -202,7 +202,7 @@
 func (s *simulation) commit(name string, body []byte) {
 	st := s.stream(name)
 	s.appends++
-	st.records = append(st.records, folder.RawRecord{Offset: st.earliest + uint64(len(st.records)), Time: s.now, Body: body})
+	st.records = append(st.records, replayer.RawRecord{Offset: st.earliest + uint64(len(st.records)), Time: s.now, Body: body})
 	for _, n := range s.names {
 		h := s.hosts[n]
 		if f := h.follows[name]; f != nil && h.alive {
@@ -216,7 +216,7 @@
 	st := s.stream(name)
 	if n := len(st.records) - keep; n > 0 {
 		st.earliest += uint64(n)
-		st.records = append([]folder.RawRecord(nil), st.records[n:]...)
+		st.records = append([]replayer.RawRecord(nil), st.records[n:]...)
 	}
 }
 
--- a/emulator/log.go
+++ b/emulator/log.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/connector"
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // maxRecordBytes bounds the body of an append.
@@ -47,7 +47,7 @@
 
 type stream struct {
 	earliest uint64
-	records  []folder.RawRecord
+	records  []replayer.RawRecord
 	changed  chan struct{}
 }
 
@@ -80,7 +80,7 @@
 	s := l.stream(name)
 	if n := len(s.records) - keep; n > 0 {
 		s.earliest += uint64(n)
-		s.records = append([]folder.RawRecord(nil), s.records[n:]...)
+		s.records = append([]replayer.RawRecord(nil), s.records[n:]...)
 	}
 }
 
@@ -94,7 +94,7 @@
 func (l *Log) append(name string, body []byte) uint64 {
 	s := l.stream(name)
 	offset := s.earliest + uint64(len(s.records))
-	s.records = append(s.records, folder.RawRecord{Offset: offset, Time: l.opts.Now(), Body: body})
+	s.records = append(s.records, replayer.RawRecord{Offset: offset, Time: l.opts.Now(), Body: body})
 	close(s.changed)
 	s.changed = make(chan struct{})
 	l.appends++
@@ -124,11 +124,11 @@
 
 // Page returns up to limit records from an offset on, and a channel that is
 // closed at the stream's next append.
-func (l *Log) Page(name string, from uint64, limit int) (folder.Page, <-chan struct{}) {
+func (l *Log) Page(name string, from uint64, limit int) (replayer.Page, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	p := folder.Page{Earliest: s.earliest, Next: s.earliest + uint64(len(s.records))}
+	p := replayer.Page{Earliest: s.earliest, Next: s.earliest + uint64(len(s.records))}
 	from = max(from, s.earliest)
 	if from < p.Next {
 		tail := s.records[from-s.earliest:]
--- a/leaser/holder.go
+++ b/leaser/holder.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // Options configures a Holder.
@@ -91,20 +91,20 @@
 
 // Tick returns the entries to append now: the renewal of the held leases, and acquisitions of
 // wanted leases that are free or expired.
-func (h *Holder) Tick(now time.Time, wanted []Wanted) []folder.Entry {
+func (h *Holder) Tick(now time.Time, wanted []Wanted) []replayer.Entry {
 	if h.released {
 		return nil
 	}
-	var out []folder.Entry
+	var out []replayer.Entry
 	if refs := h.heldRefs(); len(refs) > 0 && now.Sub(h.lastRenewal) >= h.opts.Duration/renewalsPerDuration {
 		h.lastRenewal = now
-		out = h.appendEntry(now, out, folder.NewEntry(KindRenew, Renew{Leases: refs}))
+		out = h.appendEntry(now, out, replayer.NewEntry(KindRenew, Renew{Leases: refs}))
 	}
 	for _, w := range wanted {
 		if h.mayAcquire(now, w) {
 			l := h.table.Lookup(w.Name)
 			h.acquiring[w.Name] = now
-			out = h.appendEntry(now, out, folder.NewEntry(KindAcquire,
+			out = h.appendEntry(now, out, replayer.NewEntry(KindAcquire,
 				Acquire{Name: w.Name, Epoch: l.Epoch, Renewals: l.Renewals}))
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // appendEntry appends e to out and records it as in flight.
-func (h *Holder) appendEntry(now time.Time, out []folder.Entry, e folder.Entry) []folder.Entry {
+func (h *Holder) appendEntry(now time.Time, out []replayer.Entry, e replayer.Entry) []replayer.Entry {
 	h.inFlight = append(h.inFlight, now)
 	return append(out, e)
 }
@@ -148,7 +148,7 @@
 }
 
 // Applied processes a record after the table has applied it.
-func (h *Holder) Applied(now time.Time, rec folder.Applied) {
+func (h *Holder) Applied(now time.Time, rec replayer.Applied) {
 	h.observe(now, rec)
 	if rec.Writer != h.writer {
 		return
@@ -161,7 +161,7 @@
 }
 
 // observe records the time at which the leases in a record changed.
-func (h *Holder) observe(now time.Time, rec folder.Applied) {
+func (h *Holder) observe(now time.Time, rec replayer.Applied) {
 	for _, e := range rec.Entries {
 		var body struct {
 			Name   string
@@ -182,7 +182,7 @@
 }
 
 // confirm extends the validity of the leases in an entry of this host that was read back.
-func (h *Holder) confirm(e folder.Entry) {
+func (h *Holder) confirm(e replayer.Entry) {
 	if len(h.inFlight) == 0 {
 		return
 	}
@@ -213,14 +213,14 @@
 }
 
 // Release returns the entries that release all held leases. Tick returns no entries afterwards.
-func (h *Holder) Release() []folder.Entry {
+func (h *Holder) Release() []replayer.Entry {
 	h.released = true
 	return h.Yield(h.Held())
 }
 
 // Yield returns the entries that release some of the held leases, so that a candidate of lower
 // rank can acquire them.
-func (h *Holder) Yield(names []string) []folder.Entry {
+func (h *Holder) Yield(names []string) []replayer.Entry {
 	var refs []Ref
 	for _, n := range names {
 		if epoch := h.Epoch(n); epoch != 0 {
@@ -231,7 +231,7 @@
 	if len(refs) == 0 {
 		return nil
 	}
-	return []folder.Entry{folder.NewEntry(KindRelease, Release{Leases: refs})}
+	return []replayer.Entry{replayer.NewEntry(KindRelease, Release{Leases: refs})}
 }
 
 // ValidUntil returns the time at which this host must stop acting on a lease; the zero time if it does
--- a/leaser/table.go
+++ b/leaser/table.go
@@ -4,7 +4,7 @@
 package leaser
 
 import (
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // StreamName is the name of the stream of leases in the log.
@@ -12,9 +12,9 @@
 
 // Kinds of entries in the stream of leases.
 const (
-	KindAcquire folder.Kind = "Acquire"
-	KindRenew   folder.Kind = "Renew"
-	KindRelease folder.Kind = "Release"
+	KindAcquire replayer.Kind = "Acquire"
+	KindRenew   replayer.Kind = "Renew"
+	KindRelease replayer.Kind = "Release"
 )
 
 // Acquire acquires a lease that the writer considers free or expired. It is ignored if the lease
@@ -48,7 +48,7 @@
 	Renewals uint64
 }
 
-// Table holds the state of all leases. It implements folder.State.
+// Table holds the state of all leases. It implements replayer.State.
 type Table struct {
 	leases map[string]Lease
 }
@@ -68,8 +68,8 @@
 	return out
 }
 
-// Apply implements folder.State. An epoch is an offset plus one, so that 0 stands for none.
-func (t *Table) Apply(at folder.Position, writer string, e folder.Entry) {
+// Apply implements replayer.State. An epoch is an offset plus one, so that 0 stands for none.
+func (t *Table) Apply(at replayer.Position, writer string, e replayer.Entry) {
 	switch e.Kind {
 	case KindAcquire:
 		var a Acquire
@@ -102,13 +102,13 @@
 	}
 }
 
-// EncodeState implements folder.State.
-func (t *Table) EncodeState() []byte { return folder.EncodeCBOR(t.leases) }
+// EncodeState implements replayer.State.
+func (t *Table) EncodeState() []byte { return replayer.EncodeCBOR(t.leases) }
 
-// DecodeState implements folder.State.
+// DecodeState implements replayer.State.
 func (t *Table) DecodeState(b []byte) error {
 	leases := make(map[string]Lease)
-	if err := folder.DecodeCBOR(b, &leases); err != nil {
+	if err := replayer.DecodeCBOR(b, &leases); err != nil {
 		return err
 	}
 	t.leases = leases
--- a/leaser/table_test.go
+++ b/leaser/table_test.go
@@ -9,32 +9,32 @@
 
 	"gotest.tools/v3/assert"
 
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/internal/foldcheck"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 func TestTableRestores(t *testing.T) {
-	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.WrittenEntry{
-		{Writer: "a", Entry: folder.NewEntry(KindAcquire, Acquire{Name: "l"})},
-		{Writer: "a", Entry: folder.NewEntry(KindRenew, Renew{Leases: []Ref{{Name: "l", Epoch: 1}}})},
-		{Writer: "b", Entry: folder.NewEntry(KindAcquire, Acquire{Name: "l", Epoch: 1, Renewals: 1})},
-		{Writer: "b", Entry: folder.NewEntry(KindRelease, Release{Leases: []Ref{{Name: "l", Epoch: 3}}})},
+	foldcheck.Run(t, func() replayer.State { return NewTable() }, []foldcheck.WrittenEntry{
+		{Writer: "a", Entry: replayer.NewEntry(KindAcquire, Acquire{Name: "l"})},
+		{Writer: "a", Entry: replayer.NewEntry(KindRenew, Renew{Leases: []Ref{{Name: "l", Epoch: 1}}})},
+		{Writer: "b", Entry: replayer.NewEntry(KindAcquire, Acquire{Name: "l", Epoch: 1, Renewals: 1})},
+		{Writer: "b", Entry: replayer.NewEntry(KindRelease, Release{Leases: []Ref{{Name: "l", Epoch: 3}}})},
 	})
 }
 
 // TestRenewalInvalidatesAcquire guards against two holders when a renewal precedes an Acquire.
 func TestRenewalInvalidatesAcquire(t *testing.T) {
 	table := NewTable()
-	apply := func(offset uint64, writer string, e folder.Entry) {
-		table.Apply(folder.Position{Offset: offset}, writer, e)
+	apply := func(offset uint64, writer string, e replayer.Entry) {
+		table.Apply(replayer.Position{Offset: offset}, writer, e)
 	}
-	apply(0, "a", folder.NewEntry(KindAcquire, Acquire{Name: "l"}))
-	apply(1, "a", folder.NewEntry(KindRenew, Renew{Leases: []Ref{{Name: "l", Epoch: 1}}}))
-	apply(2, "b", folder.NewEntry(KindAcquire, Acquire{Name: "l", Epoch: 1, Renewals: 0}))
+	apply(0, "a", replayer.NewEntry(KindAcquire, Acquire{Name: "l"}))
+	apply(1, "a", replayer.NewEntry(KindRenew, Renew{Leases: []Ref{{Name: "l", Epoch: 1}}}))
+	apply(2, "b", replayer.NewEntry(KindAcquire, Acquire{Name: "l", Epoch: 1, Renewals: 0}))
 	assert.DeepEqual(t, table.Lookup("l"), Lease{Holder: "a", Epoch: 1, Renewals: 1})
-	apply(3, "b", folder.NewEntry(KindAcquire, Acquire{Name: "l", Epoch: 1, Renewals: 1}))
+	apply(3, "b", replayer.NewEntry(KindAcquire, Acquire{Name: "l", Epoch: 1, Renewals: 1}))
 	assert.DeepEqual(t, table.Lookup("l"), Lease{Holder: "b", Epoch: 4})
-	apply(4, "a", folder.NewEntry(KindRenew, Renew{Leases: []Ref{{Name: "l", Epoch: 1}}}))
+	apply(4, "a", replayer.NewEntry(KindRenew, Renew{Leases: []Ref{{Name: "l", Epoch: 1}}}))
 	assert.DeepEqual(t, table.Lookup("l"), Lease{Holder: "b", Epoch: 4})
 }
 
@@ -47,7 +47,7 @@
 	now := time.Unix(1000, 0)
 	want := []Wanted{{Name: "l"}}
 	entries := a.Tick(now, want)
-	rec := folder.Applied{Record: folder.Record{Writer: "a", Sequence: 1, Entries: entries}}
+	rec := replayer.Applied{Record: replayer.Record{Writer: "a", Sequence: 1, Entries: entries}}
 	read := now.Add(400 * time.Millisecond)
 	for _, x := range []struct {
 		table  *Table
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -7,7 +7,6 @@
 	"github.com/pkg/errors"
 
 	"amaranthgate.example/amaranthgate/claimer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/follower"
 	"amaranthgate.example/amaranthgate/internal/codec"
 	"amaranthgate.example/amaranthgate/keeper"
@@ -15,6 +14,7 @@
 	"amaranthgate.example/amaranthgate/placer"
 	"amaranthgate.example/amaranthgate/quarantiner"
 	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
@@ -75,7 +75,7 @@
 // StreamRecord is a record of one stream of the log.
 type StreamRecord struct {
 	Stream string
-	Record folder.RawRecord
+	Record replayer.RawRecord
 }
 
 // InFlight holds a host's requests in flight at all upstreams. Upstreams that are left out have none.
@@ -129,7 +129,7 @@
 // StreamSnapshot is the state of one stream folded up to an offset.
 type StreamSnapshot struct {
 	Stream     string
-	Checkpoint folder.Checkpoint
+	Checkpoint replayer.Checkpoint
 }
 
 // Hello identifies a host in the handshake.
--- a/folder/record.go
+++ b/replayer/record.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package folder
+package replayer
 
 import (
 	"time"
@@ -55,7 +55,7 @@
 func NewEntry(kind Kind, body any) Entry {
 	b, err := codec.Marshal(body)
 	if err != nil {
-		panic("folder: encoding the body of an entry: " + err.Error())
+		panic("replayer: encoding the body of an entry: " + err.Error())
 	}
 	return Entry{Kind: kind, Body: b}
 }
@@ -71,7 +71,7 @@
 func (r Record) Encode() []byte {
 	b, err := codec.Marshal(r)
 	if err != nil {
-		panic("folder: encoding a record: " + err.Error())
+		panic("replayer: encoding a record: " + err.Error())
 	}
 	return b
 }
@@ -80,10 +80,10 @@
 func DecodeRecord(body []byte) (Record, error) {
 	var r Record
 	if err := codec.Unmarshal(body, &r); err != nil {
-		return Record{}, errors.Wrap(err, "folder: decoding a record")
+		return Record{}, errors.Wrap(err, "replayer: decoding a record")
 	}
 	if r.Writer == "" || r.Sequence == 0 {
-		return Record{}, errors.New("folder: record without writer or sequence")
+		return Record{}, errors.New("replayer: record without writer or sequence")
 	}
 	return r, nil
 }
--- a/folder/stream.go
+++ b/replayer/stream.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package folder
+package replayer
 
 import (
 	"time"
@@ -42,7 +42,7 @@
 	Record
 }
 
-// Stream folds the records of one stream into a state. It is not safe for concurrent use.
+// Stream applies the records of one stream to a state. It is not safe for concurrent use.
 type Stream struct {
 	name        string
 	state       State
@@ -206,7 +206,7 @@
 		return err
 	}
 	if err := s.state.DecodeState(state); err != nil {
-		return errors.Wrapf(err, "folder: restoring a checkpoint of stream %s", s.name)
+		return errors.Wrapf(err, "replayer: restoring a checkpoint of stream %s", s.name)
 	}
 	s.initialized = true
 	s.writers = make(map[string]lastRecord, len(cp.Writers))
@@ -219,7 +219,7 @@
 func compress(b []byte) []byte {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		panic("folder: " + err.Error())
+		panic("replayer: " + err.Error())
 	}
 	defer enc.Close()
 	return enc.EncodeAll(b, nil)
@@ -228,11 +228,11 @@
 func decompress(b []byte) ([]byte, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxStateBytes))
 	if err != nil {
-		panic("folder: " + err.Error())
+		panic("replayer: " + err.Error())
 	}
 	defer dec.Close()
 	out, err := dec.DecodeAll(b, nil)
-	return out, errors.Wrap(err, "folder: decompressing a checkpoint")
+	return out, errors.Wrap(err, "replayer: decompressing a checkpoint")
 }
 
 // EncodeCBOR encodes a state in CBOR, for implementations of State.EncodeState. It panics if v
@@ -240,12 +240,12 @@
 func EncodeCBOR(v any) []byte {
 	b, err := codec.Marshal(v)
 	if err != nil {
-		panic("folder: encoding a state: " + err.Error())
+		panic("replayer: encoding a state: " + err.Error())
 	}
 	return b
 }
 
 // DecodeCBOR decodes the result of EncodeCBOR, for implementations of State.DecodeState.
 func DecodeCBOR(b []byte, dst any) error {
-	return errors.Wrap(codec.Unmarshal(b, dst), "folder: decoding a state")
+	return errors.Wrap(codec.Unmarshal(b, dst), "replayer: decoding a state")
 }
--- a/reporter/batch.go
+++ b/reporter/batch.go
@@ -7,14 +7,14 @@
 	"sort"
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // StreamName is the name of the reports' stream in the log.
 const StreamName = "Reports"
 
 // KindBatch is the kind of the entries of the reports' stream.
-const KindBatch folder.Kind = "Batch"
+const KindBatch replayer.Kind = "Batch"
 
 // Outcome is the result of one request.
 type Outcome struct {
@@ -194,9 +194,9 @@
 
 // Flush returns the batch as an entry and starts the next one. It returns false if
 // the batch is empty.
-func (g *Gatherer) Flush(now time.Time) (folder.Entry, bool) {
+func (g *Gatherer) Flush(now time.Time) (replayer.Entry, bool) {
 	if len(g.groups) == 0 && g.lost == 0 {
-		return folder.Entry{}, false
+		return replayer.Entry{}, false
 	}
 	g.number++
 	b := Batch{Number: g.number, From: g.from, To: now, Once: g.once, Lost: g.lost}
@@ -205,7 +205,7 @@
 	}
 	sort.Slice(b.Lines, func(i, j int) bool { return b.Lines[i].less(b.Lines[j].Group) })
 	*g = Gatherer{number: g.number, from: now, groups: make(map[Group]*Counts)}
-	return folder.NewEntry(KindBatch, b), true
+	return replayer.NewEntry(KindBatch, b), true
 }
 
 func (g Group) less(o Group) bool {
--- a/reporter/doc.go
+++ b/reporter/doc.go
@@ -13,6 +13,6 @@
 //	g.Record(reporter.Outcome{Workspace: "notary", Class: "Booking", ...})
 //	entry, ok := g.Flush(now)
 //
-//	table := reporter.NewTable() // a folder.State
+//	table := reporter.NewTable() // a replayer.State
 //	rows := table.Report().Rows
 package reporter
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -9,13 +9,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/internal/foldcheck"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 var start = time.Date(2026, 3, 14, 8, 0, 0, 0, time.UTC)
 
-func batch(t *testing.T, g *Gatherer, outcomes ...Outcome) folder.Entry {
+func batch(t *testing.T, g *Gatherer, outcomes ...Outcome) replayer.Entry {
 	t.Helper()
 	for _, o := range outcomes {
 		g.Record(o)
@@ -28,7 +28,7 @@
 func TestTableRestores(t *testing.T) {
 	g := NewGatherer(start)
 	answered := Outcome{Workspace: "w", Class: "c", Ran: "Yes", OnTime: true, FirstToken: 30 * time.Millisecond}
-	foldcheck.Run(t, func() folder.State { return NewTable() }, []foldcheck.WrittenEntry{
+	foldcheck.Run(t, func() replayer.State { return NewTable() }, []foldcheck.WrittenEntry{
 		{Writer: "a", Entry: batch(t, g, answered, Outcome{Workspace: "w", Class: "c", Reason: "RateLimited", Ran: "No"})},
 		{Writer: "a", Entry: batch(t, g, answered, Outcome{Workspace: "v", Class: "c", Once: &OnceLine{RequestID: "r"}})},
 		{Writer: "a", Entry: batch(t, g, Outcome{Workspace: "w", Class: "c", Reason: "MayHaveRun", Ran: "Unknown"})},
@@ -43,9 +43,9 @@
 	first := batch(t, g, Outcome{Workspace: "w", Class: "c", OnTime: true, FirstToken: time.Millisecond})
 	batch(t, g, Outcome{Workspace: "w", Class: "c"}) // never arrives
 	third := batch(t, g, Outcome{Workspace: "w", Class: "c", FirstToken: time.Second})
-	table.Apply(folder.Position{}, "a", first)
-	table.Apply(folder.Position{}, "a", third)
-	table.Apply(folder.Position{}, "a", third) // duplicate
+	table.Apply(replayer.Position{}, "a", first)
+	table.Apply(replayer.Position{}, "a", third)
+	table.Apply(replayer.Position{}, "a", third) // duplicate
 	r := table.Report()
 	assert.Equal(t, len(r.Gaps), 1)
 	assert.Equal(t, r.Gaps[0].First, uint64(2))
@@ -63,9 +63,9 @@
 	g := NewGatherer(start)
 	table := NewTable()
 	both := []Outcome{{Workspace: "w", Class: "c", FirstToken: time.Millisecond}, {Workspace: "w", Class: "c", Reason: "RateLimited"}}
-	table.Apply(folder.Position{}, "a", batch(t, g, both...))
+	table.Apply(replayer.Position{}, "a", batch(t, g, both...))
 	r := table.Report()
-	table.Apply(folder.Position{}, "a", batch(t, g, both...))
+	table.Apply(replayer.Position{}, "a", batch(t, g, both...))
 	assert.Equal(t, r.Rows[0].FirstToken[0], uint64(1))
 	assert.Equal(t, r.Rows[0].Refused["RateLimited"], uint64(1))
 	assert.Equal(t, table.Report().Rows[0].Refused["RateLimited"], uint64(2))
--- a/reporter/table.go
+++ b/reporter/table.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // maxReportOnceLines limits the lines of a report; older ones are dropped.
@@ -29,7 +29,7 @@
 	Before time.Time // Before is the end of the first batch after the gap.
 }
 
-// Table is the state built from the reports' stream. It implements folder.State.
+// Table is the state built from the reports' stream. It implements replayer.State.
 type Table struct {
 	image tableImage
 }
@@ -46,8 +46,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{image: tableImage{Writers: make(map[string]writerState)}} }
 
-// Apply implements folder.State.
-func (t *Table) Apply(at folder.Position, writer string, e folder.Entry) {
+// Apply implements replayer.State.
+func (t *Table) Apply(at replayer.Position, writer string, e replayer.Entry) {
 	var b Batch
 	if e.Kind != KindBatch || !e.Decode(&b) {
 		return
@@ -110,13 +110,13 @@
 	}
 }
 
-// EncodeState implements folder.State.
-func (t *Table) EncodeState() []byte { return folder.EncodeCBOR(t.image) }
+// EncodeState implements replayer.State.
+func (t *Table) EncodeState() []byte { return replayer.EncodeCBOR(t.image) }
 
-// DecodeState implements folder.State.
+// DecodeState implements replayer.State.
 func (t *Table) DecodeState(b []byte) error {
 	var img tableImage
-	if err := folder.DecodeCBOR(b, &img); err != nil {
+	if err := replayer.DecodeCBOR(b, &img); err != nil {
 		return err
 	}
 	if img.Writers == nil {
--- a/runner/outcomes.go
+++ b/runner/outcomes.go
@@ -14,7 +14,7 @@
 
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/controller"
-	"amaranthgate.example/amaranthgate/folder"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/reporter"
 	"amaranthgate.example/amaranthgate/server"
 )
@@ -88,7 +88,7 @@
 	o.set.GetOrCreateCounter(fmt.Sprintf(`amaranthgate_cached_tokens_total{class=%q}`, class)).Add(out.Cached)
 }
 
-func (o *outcomeRecorder) flush(now time.Time) (folder.Entry, bool) {
+func (o *outcomeRecorder) flush(now time.Time) (replayer.Entry, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gatherer.Flush(now)
@@ -97,7 +97,7 @@
 // flushOutcomes appends the recorded outcomes to the log.
 func (h *Host) flushOutcomes(now time.Time) {
 	if e, ok := h.outcomes.flush(now); ok {
-		h.loop.post(controller.EntriesReported{Entries: []folder.Entry{e}})
+		h.loop.post(controller.EntriesReported{Entries: []replayer.Entry{e}})
 	}
 }
 
