--- a/controller/event.go
+++ b/controller/event.go
@@ -9,8 +9,8 @@
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
 	"amaranthgate.example/amaranthgate/connector"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/replayer"
@@ -115,7 +115,7 @@
 
 // TurnEnded reports that an upstream has computed a turn of a conversation.
 type TurnEnded struct {
-	Turn keeper.Turn
+	Turn indexer.Turn
 }
 
 // PlacementMade reports that a prompt went to an upstream that does not rank first
@@ -202,7 +202,7 @@
 type CacheChanged struct {
 	Upstream string
 	Full     bool // Full reports whether Changes replace all segments.
-	Changes  []keeper.Change
+	Changes  []indexer.Change
 	Until    time.Time // Until is when the segments expire unless refreshed.
 }
 
--- a/controller/node.go
+++ b/controller/node.go
@@ -10,7 +10,7 @@
 	"amaranthgate.example/amaranthgate/appender"
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/keeper"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/leaser"
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/messenger"
@@ -79,7 +79,7 @@
 	incarnations        map[string]uint64 // by upstream
 	pendingLoads        []tracker.LoadDigest
 	pendingPlacements   []messenger.Placement
-	pendingTurns        map[string][]keeper.Turn // by host to send them to
+	pendingTurns        map[string][]indexer.Turn // by host to send them to
 	lastHeartbeat       time.Time
 	lastLoadFlush       time.Time
 	lastSlowTick        time.Time
@@ -114,7 +114,7 @@
 		loadMarks:         make(map[string]loadMark),
 		incarnations:      make(map[string]uint64),
 		lastFullSync:      make(map[string]time.Time),
-		pendingTurns:      make(map[string][]keeper.Turn),
+		pendingTurns:      make(map[string][]indexer.Turn),
 		caches:            newCacheViews(),
 		lastSuspectNotice: make(map[string]time.Time),
 		outrankedSince:    make(map[string]time.Time),
--- a/controller/stores.go
+++ b/controller/stores.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/configurer"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/orderer"
 )
@@ -19,7 +19,7 @@
 
 // cacheStore is an issuer's state of the KV cache store of one upstream.
 type cacheStore struct {
-	plan        *keeper.Store
+	plan        *indexer.Store
 	incarnation uint64
 	next        uint64 // next is the sequence number of the next cache event.
 	exclusive   bool   // exclusive reports whether other issuers can no longer change the store.
@@ -46,9 +46,9 @@
 
 func newCacheStore(u *configurer.Upstream) *cacheStore {
 	return &cacheStore{
-		plan: keeper.NewStore(keeper.StoreOptions{
+		plan: indexer.NewStore(indexer.StoreOptions{
 			Capacity:   u.StoreBlocks,
-			BlockBytes: u.BytesPerToken * keeper.TokensPerBlock,
+			BlockBytes: u.BytesPerToken * indexer.TokensPerBlock,
 			LinkRate:   u.LinkRate,
 		}),
 	}
@@ -74,19 +74,19 @@
 	if len(plan.Free) > 0 {
 		o := wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderFree}
 		for _, r := range plan.Free {
-			o.Segments = append(o.Segments, wire.SegmentRef{Name: keeper.WireName(r.Wire), Generation: r.Generation})
+			o.Segments = append(o.Segments, wire.SegmentRef{Name: indexer.WireName(r.Wire), Generation: r.Generation})
 		}
 		n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
 	}
 }
 
-func (n *Node) export(now time.Time, gr *issuerGroup, u *configurer.Upstream, st *cacheStore, e keeper.Export) {
+func (n *Node) export(now time.Time, gr *issuerGroup, u *configurer.Upstream, st *cacheStore, e indexer.Export) {
 	o := wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderExport, From: e.From}
 	if e.From > 0 {
-		o.Parent = keeper.WireName(e.Parent)
+		o.Parent = indexer.WireName(e.Parent)
 	}
 	for _, b := range e.Blocks {
-		o.Blocks = append(o.Blocks, keeper.WireName(b))
+		o.Blocks = append(o.Blocks, indexer.WireName(b))
 	}
 	n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
 }
@@ -166,13 +166,13 @@
 }
 
 func (st *cacheStore) applyEvent(now time.Time, e wire.CacheEvent) {
-	raw, ok := keeper.ParseWire(e.Block)
+	raw, ok := indexer.ParseWire(e.Block)
 	if !ok {
 		return
 	}
 	switch e.Kind {
 	case wire.SegmentSealed:
-		parent, _ := keeper.ParseWire(e.Parent)
+		parent, _ := indexer.ParseWire(e.Parent)
 		st.plan.SegmentReported(now, raw, e.Generation, e.Blocks, e.From, parent)
 	case wire.SegmentFreed:
 		st.plan.SegmentRemoved(raw, e.Generation)
@@ -180,7 +180,7 @@
 }
 
 // turnEnded passes a turn to the issuer of its upstream.
-func (n *Node) turnEnded(now time.Time, from string, t keeper.Turn) {
+func (n *Node) turnEnded(now time.Time, from string, t indexer.Turn) {
 	g := groupOf(t.Upstream)
 	holder := n.holderOf(groupLease(g))
 	switch {
@@ -214,7 +214,7 @@
 	}
 	n.caches.lastQuery = now
 	for seq, at := range n.caches.pending {
-		if now.Sub(at) > keeper.KeptLease {
+		if now.Sub(at) > indexer.KeptLease {
 			delete(n.caches.pending, seq)
 		}
 	}
@@ -281,7 +281,7 @@
 }
 
 // cacheReplied handles an issuer's reply. Its segments may be used for
-// keeper.KeptLease after the query was sent.
+// indexer.KeptLease after the query was sent.
 func (n *Node) cacheReplied(_ time.Time, reply messenger.CacheReply) {
 	sentAt, ok := n.caches.pending[reply.Sequence]
 	if !ok || reply.Group < 0 || reply.Group >= upstreamGroups || reply.Epoch < n.caches.epochs[reply.Group] {
@@ -295,7 +295,7 @@
 			Upstream: s.Upstream,
 			Full:     s.Full,
 			Changes:  s.Changes,
-			Until:    sentAt.Add(keeper.KeptLease),
+			Until:    sentAt.Add(indexer.KeptLease),
 		})
 	}
 }
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"sync"
 
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 )
 
 // maxCacheEvents is the number of recent cache events that an engine keeps.
@@ -68,7 +68,7 @@
 
 // access looks up a prompt's blocks in accelerator memory and in the given
 // kept segments, and caches all of them.
-func (c *cache) access(chain keeper.Chain, restore []wire.SegmentRef) cacheAccess {
+func (c *cache) access(chain indexer.Chain, restore []wire.SegmentRef) cacheAccess {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	names := make([]string, chain.Len())
--- a/emulator/execution.go
+++ b/emulator/execution.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 )
 
 // execution is the execution of one request at an engine.
@@ -27,7 +27,7 @@
 
 func (r *execution) serve(w http.ResponseWriter, hr *http.Request) {
 	prompt := r.req.PromptText()
-	tokens := (len(prompt) + keeper.BytesPerToken - 1) / keeper.BytesPerToken
+	tokens := (len(prompt) + indexer.BytesPerToken - 1) / indexer.BytesPerToken
 	arrived := time.Now()
 	release, ok := r.engine.batch.acquire(hr.Context(), r.req.Priority, tokens)
 	if !ok {
@@ -49,7 +49,7 @@
 	w.Header().Set(wire.HeaderNonce, id)
 	w.Header().Set(wire.HeaderVersion, r.version)
 	g := newGenerator(prompt)
-	defer func() { r.engine.cache.access(keeper.NewChain(r.req.CacheSalt, prompt+g.text.String()), nil) }()
+	defer func() { r.engine.cache.access(indexer.NewChain(r.req.CacheSalt, prompt+g.text.String()), nil) }()
 	if r.req.Stream {
 		r.respondStream(w, hr, id, g)
 		return
@@ -60,13 +60,13 @@
 // prefill caches the prompt's blocks and waits for the time to import kept
 // blocks and to compute the others.
 func (r *execution) prefill(ctx context.Context, prompt string, tokens int) {
-	chain := keeper.NewChain(r.req.CacheSalt, prompt)
+	chain := indexer.NewChain(r.req.CacheSalt, prompt)
 	cached := r.engine.cache.access(chain, r.req.Restore)
 	wait := r.fault.Slow
 	if rate := r.engine.opts.LinkRate; rate > 0 {
 		wait += time.Duration(float64(cached.restoredBlocks) / rate * float64(time.Second))
 	}
-	reused := (cached.hitBlocks + cached.restoredBlocks) * keeper.TokensPerBlock
+	reused := (cached.hitBlocks + cached.restoredBlocks) * indexer.TokensPerBlock
 	if rate := r.engine.opts.PrefillRate; rate > 0 {
 		wait += time.Duration(float64(tokens-reused) / rate * float64(time.Second))
 	}
--- a/experimenter/simengine.go
+++ b/experimenter/simengine.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"amaranthgate.example/amaranthgate/keeper"
+	"amaranthgate.example/amaranthgate/indexer"
 )
 
 // eventLoop runs scheduled functions in virtual time.
@@ -155,7 +155,7 @@
 func (e *simEngine) start(j *job) {
 	e.running++
 	t := j.turn
-	hit := min(e.cachedTokens(t.conv.id), t.tokens) / keeper.TokensPerBlock * keeper.TokensPerBlock
+	hit := min(e.cachedTokens(t.conv.id), t.tokens) / indexer.TokensPerBlock * indexer.TokensPerBlock
 	restore := min(j.restore, e.storedTokens[t.conv.id], t.tokens)
 	j.reused = max(hit, restore)
 	j.remaining = t.tokens - j.reused
--- a/experimenter/simhost.go
+++ b/experimenter/simhost.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/keeper"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/router"
 	"amaranthgate.example/amaranthgate/scheduler"
 )
@@ -144,11 +144,11 @@
 // fillFromIndex fills in the holdings that this host's index knows.
 func (h *simHost) fillFromIndex(t *turn, req *router.Request) {
 	h.index.Lookup(h.sim.clock(), t.chain, &h.lookup)
-	req.Known = h.lookup.Known * keeper.TokensPerBlock
+	req.Known = h.lookup.Known * indexer.TokensPerBlock
 	h.holdings = h.holdings[:0]
 	for _, f := range h.lookup.Matches {
 		h.holdings = append(h.holdings, router.Holding{
-			Target: int(f.Upstream), Cached: f.Cached * keeper.TokensPerBlock, Kept: f.Kept * keeper.TokensPerBlock,
+			Target: int(f.Upstream), Cached: f.Cached * indexer.TokensPerBlock, Kept: f.Kept * indexer.TokensPerBlock,
 		})
 	}
 	req.Holdings = h.holdings
@@ -235,7 +235,7 @@
 // recordPlacement adds the blocks that an engine has computed to the index, and
 // to the indexes of the other hosts if they cannot derive the placement from the
 // key.
-func (h *simHost) recordPlacement(chain keeper.Chain, i int, first bool) {
+func (h *simHost) recordPlacement(chain indexer.Chain, i int, first bool) {
 	s := h.sim
 	n := chain.Len()
 	if n == 0 {
@@ -255,7 +255,7 @@
 }
 
 // recordTurn reports the end of a turn to the store's plan.
-func (h *simHost) recordTurn(chain keeper.Chain, t *turn, i int) {
+func (h *simHost) recordTurn(chain indexer.Chain, t *turn, i int) {
 	s := h.sim
 	n := chain.Len()
 	if s.policy.NoExport || n == 0 {
@@ -266,14 +266,14 @@
 	if from == n {
 		return
 	}
-	tn := keeper.Turn{Upstream: name, From: from, Chance: s.spec.Classes[t.conv.class].ReturnProbability}
+	tn := indexer.Turn{Upstream: name, From: from, Chance: s.spec.Classes[t.conv.class].ReturnProbability}
 	if from > 0 {
 		tn.Parent = chain.Raw(from - 1)
 	}
 	for b := from; b < n; b++ {
 		tn.Blocks = append(tn.Blocks, chain.Raw(b))
 	}
-	s.blockOwners[chain.Raw(n-1)] = blockOwner{conv: t.conv.id, tokens: n * keeper.TokensPerBlock}
+	s.blockOwners[chain.Raw(n-1)] = blockOwner{conv: t.conv.id, tokens: n * indexer.TokensPerBlock}
 	s.stores[i].QueueTurn(s.clock(), tn)
 }
 
@@ -283,7 +283,7 @@
 		return
 	}
 	s.times[t.conv.class].Add(took)
-	whole := t.repeated / keeper.TokensPerBlock * keeper.TokensPerBlock
+	whole := t.repeated / indexer.TokensPerBlock * indexer.TokensPerBlock
 	s.repeatedTokens += float64(whole)
 	s.recomputedTokens += float64(max(0, whole-j.reused))
 	ideal := float64(t.tokens-whole)/s.spec.PrefillRate + hopLatency.Seconds()
--- a/experimenter/simulation.go
+++ b/experimenter/simulation.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/keeper"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/router"
 	"amaranthgate.example/amaranthgate/scheduler"
 )
@@ -90,7 +90,7 @@
 	cond        Conditions
 	rng         *rand.Rand
 	engines     []*simEngine
-	stores      []*keeper.Store
+	stores      []*indexer.Store
 	blockOwners map[[16]byte]blockOwner
 	hosts       []*simHost
 	classes     []configurer.Class
@@ -116,8 +116,8 @@
 type simHost struct {
 	sim      *simulation
 	zone     int
-	index    *keeper.Index
-	lookup   keeper.Lookup
+	index    *indexer.Index
+	lookup   indexer.Lookup
 	router   *router.Router
 	targets  []router.Target
 	meters   []router.Meter
@@ -170,9 +170,9 @@
 	s.idealRatioCounts = make([]float64, s.spec.Workspaces)
 	for i := range s.spec.Engines {
 		s.engines = append(s.engines, newSimEngine(&s.eventLoop, &s.spec, i))
-		s.stores = append(s.stores, keeper.NewStore(keeper.StoreOptions{
-			Capacity:   s.spec.StoreTokens / keeper.TokensPerBlock,
-			BlockBytes: s.spec.BytesPerToken * keeper.TokensPerBlock,
+		s.stores = append(s.stores, indexer.NewStore(indexer.StoreOptions{
+			Capacity:   s.spec.StoreTokens / indexer.TokensPerBlock,
+			BlockBytes: s.spec.BytesPerToken * indexer.TokensPerBlock,
 			LinkRate:   s.spec.LinkRate,
 		}))
 	}
@@ -185,7 +185,7 @@
 	h := &simHost{
 		sim:     s,
 		zone:    i % s.spec.Zones,
-		index:   keeper.NewIndex(keeper.IndexOptions{}),
+		index:   indexer.NewIndex(indexer.IndexOptions{}),
 		router:  router.NewWithOptions(rand.New(rand.NewPCG(seed, uint64(100+i))), s.policy.Router),
 		meters:  make([]router.Meter, len(s.engines)),
 		waiting: make(map[*scheduler.Item]*turn),
@@ -294,14 +294,14 @@
 	}
 }
 
-func (s *simulation) export(i int, x keeper.Export) {
+func (s *simulation) export(i int, x indexer.Export) {
 	e := s.engines[i]
 	end := x.Blocks[len(x.Blocks)-1]
 	owner := s.blockOwners[end]
 	if e.cachedTokens(owner.conv) < owner.tokens {
 		return // evicted before the export
 	}
-	d := time.Duration(float64(len(x.Blocks)*keeper.TokensPerBlock) * s.spec.BytesPerToken / s.spec.LinkRate *
+	d := time.Duration(float64(len(x.Blocks)*indexer.TokensPerBlock) * s.spec.BytesPerToken / s.spec.LinkRate *
 		float64(time.Second))
 	e.linkBusy += d
 	s.after(3*d, func() {
@@ -310,7 +310,7 @@
 			s.stores[i].SegmentReported(s.clock(), end, 1, len(x.Blocks), x.From, x.Parent)
 			s.after(keptDelay, func() {
 				for _, h := range s.hosts {
-					h.index.SetKept(keeper.KeptSegment{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
+					h.index.SetKept(indexer.KeptSegment{Upstream: engineName(i), Wire: end, Generation: 1, From: x.From})
 				}
 			})
 		})
@@ -326,7 +326,7 @@
 	return s.cond.Lag
 }
 
-func (s *simulation) free(i int, r keeper.Ref) {
+func (s *simulation) free(i int, r indexer.Ref) {
 	owner := s.blockOwners[r.Wire]
 	delete(s.engines[i].storedTokens, owner.conv)
 	s.stores[i].SegmentRemoved(r.Wire, r.Generation)
--- a/experimenter/workload.go
+++ b/experimenter/workload.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 
 	"amaranthgate.example/amaranthgate/configurer"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/duration"
-	"amaranthgate.example/amaranthgate/keeper"
 )
 
 // ClassSpec describes a class of requests of a workload.
@@ -127,7 +127,7 @@
 	turns     int
 	key       uint64
 	salt      string
-	chain     keeper.Chain
+	chain     indexer.Chain
 	rng       *rand.Rand
 }
 
@@ -138,8 +138,8 @@
 	tokens   int // length of the prompt
 	repeated int // prompt tokens that earlier turns had
 	answer   int
-	chain    keeper.Chain // blocks of the prompt
-	after    keeper.Chain // blocks of prompt and answer
+	chain    indexer.Chain // blocks of the prompt
+	after    indexer.Chain // blocks of prompt and answer
 	seq      int
 }
 
@@ -226,9 +226,9 @@
 }
 
 // grow extends the context to a number of tokens and returns its blocks.
-func (c *conversation) grow(tokens int) keeper.Chain {
+func (c *conversation) grow(tokens int) indexer.Chain {
 	c.tokens = tokens
-	if blocks := tokens/keeper.TokensPerBlock - c.chain.Len(); blocks > 0 {
+	if blocks := tokens/indexer.TokensPerBlock - c.chain.Len(); blocks > 0 {
 		c.chain = c.chain.Extend(c.salt, c.text(blocks))
 	}
 	c.turns++
@@ -241,7 +241,7 @@
 	for i := range blocks {
 		head := fmt.Sprintf("%d/%d/%d", c.id, c.turns, i)
 		b.WriteString(head)
-		b.WriteString(strings.Repeat(" ", keeper.BlockBytes-len(head)))
+		b.WriteString(strings.Repeat(" ", indexer.BlockBytes-len(head)))
 	}
 	return b.String()
 }
--- a/keeper/doc.go
+++ b/indexer/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package keeper indexes the KV caches of engines and manages the stores to which their
+// Package indexer indexes the KV caches of engines and manages the stores to which their
 // contents are offloaded.
 //
 // A prompt is divided into blocks of text. The name of a block is a keyed hash of workspace,
@@ -27,8 +27,8 @@
 //
 // # Usage
 //
-//	chain := keeper.NewChain(keeper.Salt(secret, workspace, model, version), text)
-//	var found keeper.Lookup
+//	chain := indexer.NewChain(indexer.Salt(secret, workspace, model, version), text)
+//	var found indexer.Lookup
 //	index.Lookup(now, chain, &found)
 //	index.AddPlacement(now, upstream, chain)
-package keeper
+package indexer
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -8,8 +8,8 @@
 
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/follower"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/codec"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/placer"
 	"amaranthgate.example/amaranthgate/quarantiner"
@@ -32,7 +32,7 @@
 	Full             bool                     `cbor:"9,keyasint,omitempty"` // Full reports whether Hosts and Upstreams are all that the sender knows.
 	Demand           *limiter.Demand          `cbor:"10,keyasint,omitempty"`
 	Grants           *limiter.Grants          `cbor:"11,keyasint,omitempty"`
-	Turns            []keeper.Turn            `cbor:"12,keyasint,omitempty"`
+	Turns            []indexer.Turn           `cbor:"12,keyasint,omitempty"`
 	CacheQuery       *CacheQuery              `cbor:"13,keyasint,omitempty"`
 	CacheReply       *CacheReply              `cbor:"14,keyasint,omitempty"`
 	Placed           []Placement              `cbor:"15,keyasint,omitempty"`
@@ -92,8 +92,8 @@
 
 // Placement is the upstream that last prefilled a prompt, which is identified by its last block.
 type Placement struct {
-	Upstream string      `cbor:"1,keyasint"`
-	End      keeper.Name `cbor:"2,keyasint"`
+	Upstream string       `cbor:"1,keyasint"`
+	End      indexer.Name `cbor:"2,keyasint"`
 }
 
 // CacheQuery requests the contents of upstreams' stores from the issuer of their group.
@@ -123,7 +123,7 @@
 	Upstream string
 	Version  uint64
 	Full     bool
-	Changes  []keeper.Change `cbor:",omitempty"`
+	Changes  []indexer.Change `cbor:",omitempty"`
 }
 
 // StreamSnapshot is the state of one stream folded up to an offset.
--- a/runner/cacheindex.go
+++ b/runner/cacheindex.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/controller"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/publisher"
 	"amaranthgate.example/amaranthgate/router"
@@ -22,8 +22,8 @@
 	post func(controller.Event)
 
 	mu            sync.Mutex
-	index         *keeper.Index
-	lookup        keeper.Lookup
+	index         *indexer.Index
+	lookup        indexer.Lookup
 	continuations map[string]*continuationCount // continuations is keyed by workspace.
 }
 
@@ -37,15 +37,15 @@
 const continuationDecay = 0.999
 
 func newCacheIndex(post func(controller.Event)) *cacheIndex {
-	return &cacheIndex{post: post, index: keeper.NewIndex(keeper.IndexOptions{}), continuations: make(map[string]*continuationCount)}
+	return &cacheIndex{post: post, index: indexer.NewIndex(indexer.IndexOptions{}), continuations: make(map[string]*continuationCount)}
 }
 
 // Lookup implements server.CacheIndex.
-func (c *cacheIndex) Lookup(now time.Time, workspace string, pool *publisher.Pool, chain keeper.Chain, req *router.Request) {
+func (c *cacheIndex) Lookup(now time.Time, workspace string, pool *publisher.Pool, chain indexer.Chain, req *router.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index.Lookup(now, chain, &c.lookup)
-	req.Known = c.lookup.Known * keeper.TokensPerBlock
+	req.Known = c.lookup.Known * indexer.TokensPerBlock
 	c.countTurn(workspace, c.lookup.Known > 0)
 	if len(c.lookup.Matches) == 0 {
 		return
@@ -56,8 +56,8 @@
 			if f.Upstream == id {
 				req.Holdings = append(req.Holdings, router.Holding{
 					Target: i,
-					Cached: f.Cached * keeper.TokensPerBlock,
-					Kept:   f.Kept * keeper.TokensPerBlock,
+					Cached: f.Cached * indexer.TokensPerBlock,
+					Kept:   f.Kept * indexer.TokensPerBlock,
 				})
 			}
 		}
@@ -78,12 +78,12 @@
 }
 
 // Segments implements server.CacheIndex.
-func (c *cacheIndex) Segments(now time.Time, upstream string, chain keeper.Chain, tokens int) []wire.SegmentRef {
+func (c *cacheIndex) Segments(now time.Time, upstream string, chain indexer.Chain, tokens int) []wire.SegmentRef {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []wire.SegmentRef
-	for _, r := range c.index.Segments(now, upstream, chain, tokens/keeper.TokensPerBlock) {
-		out = append(out, wire.SegmentRef{Name: keeper.WireName(r.Wire), Generation: r.Generation})
+	for _, r := range c.index.Segments(now, upstream, chain, tokens/indexer.TokensPerBlock) {
+		out = append(out, wire.SegmentRef{Name: indexer.WireName(r.Wire), Generation: r.Generation})
 	}
 	return out
 }
@@ -108,7 +108,7 @@
 	if from == n {
 		return
 	}
-	t := keeper.Turn{Upstream: p.Upstream, From: from, Chance: chance}
+	t := indexer.Turn{Upstream: p.Upstream, From: from, Chance: chance}
 	if from > 0 {
 		t.Parent = p.Chain.Raw(from - 1)
 	}
--- a/server/exchange.go
+++ b/server/exchange.go
@@ -10,8 +10,8 @@
 
 	"amaranthgate.example/amaranthgate/configurer"
 	"amaranthgate.example/amaranthgate/dispatcher"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/publisher"
 	"amaranthgate.example/amaranthgate/router"
 )
@@ -57,7 +57,7 @@
 	request     *http.Request
 	release     func() // release gives back the capacity that awaitCapacity took.
 	pool        *poolState
-	chain       keeper.Chain
+	chain       indexer.Chain
 	body        promptBody
 	claimExpiry time.Time // claimExpiry is when the request's claim expires; zero if it has none.
 }
--- a/server/forward.go
+++ b/server/forward.go
@@ -11,8 +11,8 @@
 
 	"amaranthgate.example/amaranthgate/dispatcher"
 	"amaranthgate.example/amaranthgate/forwarder"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/publisher"
 	"amaranthgate.example/amaranthgate/router"
 )
@@ -124,7 +124,7 @@
 		prompt := x.Call.Prompt.PromptText()
 		m, _ := x.Snapshot.Document.Model(x.Call.Prompt.Model)
 		salt := d.server.salt(x.Workspace.Name, m.Name, m.Version)
-		chain = chain.Extend(salt, prompt[chain.Len()*keeper.BlockBytes:]+text)
+		chain = chain.Extend(salt, prompt[chain.Len()*indexer.BlockBytes:]+text)
 	}
 	if d.server.opts.CacheIndex == nil || x.Call.Prompt == nil {
 		return
@@ -241,7 +241,7 @@
 	}
 	if decision.Restore > 0 {
 		req.Restore = d.server.opts.CacheIndex.Segments(d.server.opts.Timer.Now(), up.Name, x.chain, decision.Restore)
-		req.RestoreWithin = int(keeper.MaxImportWait.Milliseconds())
+		req.RestoreWithin = int(indexer.MaxImportWait.Milliseconds())
 	}
 	if len(d.sentText) > 0 {
 		d.continueFrom(&req)
--- a/server/handlers.go
+++ b/server/handlers.go
@@ -11,8 +11,8 @@
 	"sort"
 
 	"amaranthgate.example/amaranthgate/configurer"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/duration"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/publisher"
 	"amaranthgate.example/amaranthgate/router"
 )
@@ -88,16 +88,16 @@
 
 // routingKeyBytes is the length of the prefix of a prompt that its routing key is
 // computed from.
-const routingKeyBytes = keeper.BlockBytes
+const routingKeyBytes = indexer.BlockBytes
 
 // setRouting sets the routing request of a prompt.
 func (s *Server) setRouting(x *Exchange, m configurer.Model) {
 	text := x.Call.Prompt.PromptText()
 	salt := s.salt(x.Workspace.Name, m.Name, m.Version)
-	x.chain = keeper.NewChain(salt, text)
+	x.chain = indexer.NewChain(salt, text)
 	x.Routing = router.Request{
 		Key:     router.NameHash(salt + text[:min(len(text), routingKeyBytes)]),
-		Tokens:  (len(text) + keeper.BytesPerToken - 1) / keeper.BytesPerToken,
+		Tokens:  (len(text) + indexer.BytesPerToken - 1) / indexer.BytesPerToken,
 		Weights: x.weights(),
 	}
 	if s.opts.CacheIndex != nil {
--- a/server/server.go
+++ b/server/server.go
@@ -19,8 +19,8 @@
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/dispatcher"
 	"amaranthgate.example/amaranthgate/forwarder"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/logger"
 	"amaranthgate.example/amaranthgate/publisher"
@@ -41,17 +41,17 @@
 type Placement struct {
 	Upstream     string
 	Workspace    string
-	Chain        keeper.Chain
+	Chain        indexer.Chain
 	NotPreferred bool // NotPreferred reports whether it is not the upstream that ranks first for the prompt.
 }
 
 // CacheIndex estimates which prompts upstreams have cached.
 type CacheIndex interface {
 	// Lookup sets the fields of req about a cached prompt of a workspace.
-	Lookup(now time.Time, workspace string, pool *publisher.Pool, chain keeper.Chain, req *router.Request)
+	Lookup(now time.Time, workspace string, pool *publisher.Pool, chain indexer.Chain, req *router.Request)
 	// Segments returns the segments of the first tokens of a prompt that an upstream
 	// can restore; nil if there are none left.
-	Segments(now time.Time, upstream string, chain keeper.Chain, tokens int) []wire.SegmentRef
+	Segments(now time.Time, upstream string, chain indexer.Chain, tokens int) []wire.SegmentRef
 	// RecordPlacement records that an upstream has computed a prompt.
 	RecordPlacement(now time.Time, p Placement)
 }
@@ -104,7 +104,7 @@
 	rngMu sync.Mutex
 	rng   *rand.Rand
 
-	salts sync.Map // salts caches keeper.Salt by saltKey.
+	salts sync.Map // salts caches indexer.Salt by saltKey.
 }
 
 type saltKey struct {
@@ -145,7 +145,7 @@
 	if v, ok := s.salts.Load(key); ok {
 		return v.(string)
 	}
-	v := keeper.Salt(s.opts.BlockSecret, workspace, model, version)
+	v := indexer.Salt(s.opts.BlockSecret, workspace, model, version)
 	s.salts.Store(key, v)
 	return v
 }
