--- a/controller/orders.go
+++ b/controller/orders.go
@@ -13,7 +13,7 @@
 
 	"amaranthgate.example/amaranthgate/configurer"
 	"amaranthgate.example/amaranthgate/internal/wire"
-	"amaranthgate.example/amaranthgate/orderer"
+	"amaranthgate.example/amaranthgate/issuer"
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
@@ -40,7 +40,7 @@
 
 // issuerGroup is the state of a group of upstreams that this host issues orders to.
 type issuerGroup struct {
-	issuer *orderer.Issuer
+	issuer *issuer.Issuer
 	stores map[string]*cacheStore
 }
 
@@ -65,7 +65,7 @@
 	}
 	if n.groups[g] == nil {
 		n.groups[g] = &issuerGroup{
-			issuer: orderer.NewIssuer(orderer.Options{
+			issuer: issuer.NewIssuer(issuer.Options{
 				Lease:           n.opts.Lease,
 				DeliveryTimeout: orderDeliveryTimeout,
 				UnloadDelay:     maxRunTime(doc),
@@ -92,7 +92,7 @@
 }
 
 // emitOrder emits an order that is valid until the lease of the group expires.
-func (n *Node) emitOrder(now time.Time, g int, o orderer.AddressedOrder) {
+func (n *Node) emitOrder(now time.Time, g int, o issuer.AddressedOrder) {
 	doc := n.config.Document()
 	for i := range doc.Upstreams {
 		if doc.Upstreams[i].Name == o.Upstream {
@@ -104,8 +104,8 @@
 
 // upstreamStates returns the desired and observed states of the live engines of a
 // group.
-func (n *Node) upstreamStates(doc *configurer.Document, g int) []orderer.UpstreamState {
-	var out []orderer.UpstreamState
+func (n *Node) upstreamStates(doc *configurer.Document, g int) []issuer.UpstreamState {
+	var out []issuer.UpstreamState
 	for i := range doc.Upstreams {
 		u := &doc.Upstreams[i]
 		if u.Kind != configurer.KindEngine || groupOf(u.Name) != g {
@@ -115,7 +115,7 @@
 		if record.State != tracker.UpstreamLive || at.IsZero() {
 			continue
 		}
-		out = append(out, orderer.UpstreamState{
+		out = append(out, issuer.UpstreamState{
 			Upstream:      u.Name,
 			WeightStore:   u.WeightStore,
 			ChecksFencing: u.ChecksFencing,
@@ -191,7 +191,7 @@
 	return out
 }
 
-func lacksModel(s orderer.UpstreamState) bool {
+func lacksModel(s issuer.UpstreamState) bool {
 	have := make(map[wire.LoadedModel]bool, len(s.Loaded))
 	for _, m := range s.Loaded {
 		have[m] = true // differs from the wanted value while loading
@@ -248,13 +248,13 @@
 	return out
 }
 
-// loadSlots counts the free slots of weight stores. It implements orderer.Slots.
+// loadSlots counts the free slots of weight stores. It implements issuer.Slots.
 type loadSlots struct {
 	node *Node
 	now  time.Time
 }
 
-// Free implements orderer.Slots. It returns the number of valid slots held by this
+// Free implements issuer.Slots. It returns the number of valid slots held by this
 // host minus its running loads, but at most the limit minus all running loads.
 func (c loadSlots) Free(store string) int {
 	n := c.node
--- a/controller/stores.go
+++ b/controller/stores.go
@@ -10,8 +10,8 @@
 	"amaranthgate.example/amaranthgate/configurer"
 	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/wire"
+	"amaranthgate.example/amaranthgate/issuer"
 	"amaranthgate.example/amaranthgate/messenger"
-	"amaranthgate.example/amaranthgate/orderer"
 )
 
 // cacheQueryInterval is the interval of queries to issuers for the contents of stores.
@@ -60,7 +60,7 @@
 	}
 	if u.ChecksFencing && !st.fenced {
 		// An empty order makes the upstream reject orders of earlier issuers.
-		n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderFree}})
+		n.emitOrder(now, groupOf(u.Name), issuer.AddressedOrder{Upstream: u.Name, Order: wire.Order{Fencing: gr.issuer.Epoch(), Kind: wire.OrderFree}})
 		return
 	}
 	st.exclusive = true
@@ -76,7 +76,7 @@
 		for _, r := range plan.Free {
 			o.Segments = append(o.Segments, wire.SegmentRef{Name: indexer.WireName(r.Wire), Generation: r.Generation})
 		}
-		n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
+		n.emitOrder(now, groupOf(u.Name), issuer.AddressedOrder{Upstream: u.Name, Order: o})
 	}
 }
 
@@ -88,7 +88,7 @@
 	for _, b := range e.Blocks {
 		o.Blocks = append(o.Blocks, indexer.WireName(b))
 	}
-	n.emitOrder(now, groupOf(u.Name), orderer.AddressedOrder{Upstream: u.Name, Order: o})
+	n.emitOrder(now, groupOf(u.Name), issuer.AddressedOrder{Upstream: u.Name, Order: o})
 }
 
 // storeOrderDone records that an upstream has accepted this issuer's fencing number.
--- a/orderer/doc.go
+++ b/issuer/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package orderer decides which orders upstreams get: to load and unload model
+// Package issuer decides which orders upstreams get: to load and unload model
 // versions and adapters, and to change roles.
 //
 // Each upstream has one issuer, the host that holds the lease of its group. The
@@ -15,9 +15,9 @@
 //
 // # Usage
 //
-//	i := orderer.NewIssuer(orderer.Options{...})
+//	i := issuer.NewIssuer(issuer.Options{...})
 //	i.SetEpoch(now, epoch)
 //	for _, o := range i.Tick(now, states, slots) { ... send o.Order to o.Upstream ... }
 //
 // The package does no I/O and reads no clock.
-package orderer
+package issuer
