--- a/conductor/build.go
+++ b/conductor/build.go
@@ -6,8 +6,8 @@
 import (
 	"amaranthgate.example/amaranthgate/loader"
 	"amaranthgate.example/amaranthgate/placer"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 func (h *Host) newPlacer() *placer.Placer {
@@ -52,7 +52,7 @@
 		Placements:   h.placer.Placements,
 		StoreReports: h.placer.StoreReports,
 		Quarantine:   h.quarantine,
-		Renewer: renewer.Options{
+		Updater: updater.Options{
 			Host:        s.Host,
 			Term:        h.opts.Timing.LeaseTerm,
 			HandoverGap: s.Platform.Lease.Std(),
--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -15,8 +15,8 @@
 	"amaranthgate.example/amaranthgate/follower"
 	"amaranthgate.example/amaranthgate/matcher"
 	"amaranthgate.example/amaranthgate/placer"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // simDecoder decodes "version N" as a configuration, the key "evacuate/ZONE" as an evacuation, and
@@ -139,7 +139,7 @@
 	c.announce(self)
 	s.node = NewNode(NodeOptions{
 		Self: self, Decoder: simDecoder{}, Timing: DefaultTiming(), FirstStart: c.firstStart,
-		Renewer:      renewer.Options{Host: s.name, Term: 2 * time.Second, HandoverGap: 3 * time.Second, Margin: 250 * time.Millisecond, AtOnce: 3},
+		Updater:      updater.Options{Host: s.name, Term: 2 * time.Second, HandoverGap: 3 * time.Second, Margin: 250 * time.Millisecond, AtOnce: 3},
 		Busy:         func(string) int { return 0 },
 		Placements:   func() []placer.Placement { return nil },
 		StoreReports: func() []placer.StoreReport { return nil },
--- a/conductor/counters.go
+++ b/conductor/counters.go
@@ -12,8 +12,8 @@
 
 	"amaranthgate.example/amaranthgate/exchanger"
 	"amaranthgate.example/amaranthgate/follower"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // counters holds the metrics of one host. Label values come from closed sets.
@@ -95,7 +95,7 @@
 	c.set.GetOrCreateGauge(fmt.Sprintf("amaranthgate_feed_current_timestamp_seconds{feed=%q}", string(f)), nil).Set(float64(at.UnixMilli()) / 1000)
 }
 
-func (c *counters) order(r renewer.OrderResult) {
+func (c *counters) order(r updater.OrderResult) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("amaranthgate_orders_total{result=%q}", string(r))).Inc()
 }
 
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -12,8 +12,8 @@
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/placer"
 	"amaranthgate.example/amaranthgate/quarantiner"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Event is an input of a Node.
@@ -66,12 +66,12 @@
 	CoresInUse float64 // CoresInUse is the number of processor cores in use by this host.
 }
 
-// RenewalEnd is the result of a renewer's command.
+// RenewalEnd is the result of an updater's command.
 type RenewalEnd struct {
-	Command  renewer.Command
-	Lease    renewer.Lease       // Lease is the answer to ReadLease.
+	Command  updater.Command
+	Lease    updater.Lease       // Lease is the answer to ReadLease.
 	Conflict bool                // Conflict reports that WriteLease found another record.
-	Result   renewer.OrderResult // Result is the answer to Order.
+	Result   updater.OrderResult // Result is the answer to Order.
 	Busy     bool                // Busy and Version are the answer to QueryVersion.
 	Version  uint64
 	Err      error
@@ -173,8 +173,8 @@
 	Report placer.Report
 }
 
-// Renew executes a command of the renewer.
-type Renew struct{ Command renewer.Command }
+// Renew executes a command of the updater.
+type Renew struct{ Command updater.Command }
 
 // FeedCurrent reports up to when the operators' feed is known.
 type FeedCurrent struct{ At time.Time }
@@ -187,7 +187,7 @@
 }
 
 // PublishPhases names the engines that load weights or will soon.
-type PublishPhases struct{ Engines map[string]renewer.Phase }
+type PublishPhases struct{ Engines map[string]updater.Phase }
 
 // LogEvent writes a log line about a change of state.
 type LogEvent struct {
--- a/conductor/host.go
+++ b/conductor/host.go
@@ -23,10 +23,10 @@
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/placer"
 	"amaranthgate.example/amaranthgate/quarantiner"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/retrier"
 	"amaranthgate.example/amaranthgate/timer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Store is the platform's store.
@@ -54,9 +54,9 @@
 
 // Engines sends orders to engines.
 type Engines interface {
-	Order(ctx context.Context, holder string, o renewer.Order) renewer.OrderResult
+	Order(ctx context.Context, holder string, o updater.Order) updater.OrderResult
 	// QueryVersion reports whether an engine is carrying out an order, and its version of a model.
-	QueryVersion(ctx context.Context, q renewer.QueryVersion) (busy bool, version uint64, err error)
+	QueryVersion(ctx context.Context, q updater.QueryVersion) (busy bool, version uint64, err error)
 }
 
 // Edge serves callers in the platform's protocol.
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -130,7 +130,7 @@
 	}
 	n.compareOffsets(now, ev.From, m.Offsets)
 	if m.Renewal != nil {
-		n.renewer.HandleStatus(now, m.Renewal)
+		n.updater.HandleStatus(now, m.Renewal)
 		for _, done := range m.Renewal.Renewed {
 			n.renewed(done)
 		}
--- a/conductor/node.go
+++ b/conductor/node.go
@@ -12,8 +12,8 @@
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/placer"
 	"amaranthgate.example/amaranthgate/quarantiner"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Decoder decodes the records of feeds.
@@ -28,7 +28,7 @@
 	Timing  Timing
 	// FirstStart reports whether the whole fleet starts for the first time.
 	FirstStart   bool
-	Renewer      renewer.Options
+	Updater      updater.Options
 	Busy         func(upstream string) int   // Busy returns the work in flight at an upstream.
 	Placements   func() []placer.Placement   // Placements returns what engines may cache, for hosts that start.
 	StoreReports func() []placer.StoreReport // StoreReports returns what is known of KV cache stores.
@@ -45,9 +45,9 @@
 	feeds   map[follower.Feed]*feed
 	actions []Action
 
-	renewer              *renewer.Renewer
+	updater              *updater.Updater
 	view                 *follower.View           // view is the last published view.
-	phases               map[string]renewer.Phase // phases are the last published phases.
+	phases               map[string]updater.Phase // phases are the last published phases.
 	viewDirty            bool
 	hostsDirty           bool
 	now                  time.Time // now is the time of the current event.
@@ -55,7 +55,7 @@
 	lastHeartbeat        time.Time
 	lastStandbyHeartbeat time.Time            // lastStandbyHeartbeat is when all neighbours got a heartbeat.
 	lastReport           time.Time            // lastReport is when all active hosts got a load report.
-	lastStatus           time.Time            // lastStatus is when the renewer's status was last broadcast.
+	lastStatus           time.Time            // lastStatus is when the updater's status was last broadcast.
 	lastRelayed          time.Time            // lastRelayed is when this host last sent its zone a message.
 	lastHosts            time.Time            // lastHosts is when the hosts were last published.
 	wasActive            bool                 // wasActive is whether this host was active in a large fleet.
@@ -99,7 +99,7 @@
 			follower.FeedOperator:  newFeed(),
 			follower.FeedUpstreams: newFeed(),
 		},
-		renewer:       renewer.New(opts.Renewer),
+		updater:       updater.New(opts.Updater),
 		view:          &follower.View{},
 		lastGreeted:   make(map[string]time.Time),
 		differsSince:  make(map[string]time.Time),
--- a/conductor/orders.go
+++ b/conductor/orders.go
@@ -9,7 +9,7 @@
 
 	"amaranthgate.example/amaranthgate/internal/codec"
 	"amaranthgate.example/amaranthgate/logger"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // leaseName is the lease under which orders are given.
@@ -19,22 +19,22 @@
 // holders, so that no order outlives its holder's turn.
 const orderTimeout = 600 * time.Millisecond
 
-// renew executes a command of the renewer and posts its result.
-func (h *Host) renew(c renewer.Command) {
+// renew executes a command of the updater and posts its result.
+func (h *Host) renew(c updater.Command) {
 	ev := RenewalEnd{Command: c}
 	switch c := c.(type) {
-	case renewer.ReadLease:
+	case updater.ReadLease:
 		ev.Lease, ev.Err = h.readLease()
-	case renewer.WriteLease:
+	case updater.WriteLease:
 		ev.Conflict, ev.Err = h.writeLease(c)
-	case renewer.Order:
+	case updater.Order:
 		ctx, cancel := context.WithTimeout(h.ctx, orderTimeout)
 		defer cancel()
 		ev.Result = h.opts.Engines.Order(ctx, h.opts.Settings.Host, c)
 		h.counters.order(ev.Result)
 		h.log.Info().Str("Upstream", c.Upstream.ID).Str("Model", c.Model).Uint64("Version", c.Version).
 			Uint64("Token", c.Token).Str("Result", string(ev.Result)).Msg(logger.OrderGiven)
-	case renewer.QueryVersion:
+	case updater.QueryVersion:
 		ctx, cancel := context.WithTimeout(h.ctx, orderTimeout)
 		defer cancel()
 		ev.Busy, ev.Version, ev.Err = h.opts.Engines.QueryVersion(ctx, c)
@@ -42,22 +42,22 @@
 	h.post(ev)
 }
 
-func (h *Host) readLease() (renewer.Lease, error) {
+func (h *Host) readLease() (updater.Lease, error) {
 	start := h.opts.Timer.Now()
 	b, end, err := h.opts.Store.Lease(h.ctx, leaseName)
 	h.counters.storeCall("lease", start, h.opts.Timer.Now(), err)
 	if err != nil {
 		h.log.Warn().Err(err).Msg(logger.LeaseUnread)
-		return renewer.Lease{}, err
+		return updater.Lease{}, err
 	}
-	got := renewer.Lease{End: end}
+	got := updater.Lease{End: end}
 	if len(b) == 0 {
 		return got, nil
 	}
 	return got, codec.Unmarshal(b, &got.Record)
 }
 
-func (h *Host) writeLease(c renewer.WriteLease) (bool, error) {
+func (h *Host) writeLease(c updater.WriteLease) (bool, error) {
 	b, err := codec.Marshal(c.Record)
 	if err != nil {
 		return false, err
--- a/conductor/renewal.go
+++ b/conductor/renewal.go
@@ -10,15 +10,15 @@
 	"github.com/pkg/errors"
 
 	"amaranthgate.example/amaranthgate/messenger"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
-// renew runs the renewer's next step.
+// renew runs the updater's next step.
 func (n *Node) renew(now time.Time) {
-	n.handleCommands(now, n.renewer.Step(now, renewer.Input{View: n.view, HostIndex: n.updaterRank(),
+	n.handleCommands(now, n.updater.Step(now, updater.Input{View: n.view, HostIndex: n.updaterRank(),
 		Busy: n.opts.Busy}))
-	if phases := n.renewer.Phases(now); !maps.Equal(phases, n.phases) {
+	if phases := n.updater.Phases(now); !maps.Equal(phases, n.phases) {
 		n.phases = phases
 		n.emit(PublishPhases{Engines: phases})
 	}
@@ -37,43 +37,43 @@
 	return max(0, tracker.RankIndex(t.active, n.opts.Self.Host, "renewer"))
 }
 
-func (n *Node) handleCommands(now time.Time, commands []renewer.Command) {
+func (n *Node) handleCommands(now time.Time, commands []updater.Command) {
 	ordered := false
 	for _, c := range commands {
-		if done, ok := c.(renewer.Renewed); ok {
+		if done, ok := c.(updater.Renewed); ok {
 			n.renewed(done)
 			continue
 		}
-		if d, ok := c.(renewer.Doubted); ok {
+		if d, ok := c.(updater.Doubted); ok {
 			n.emit(LogEvent{Kind: LogVersionDoubted, Key: d.Model, Err: errors.Errorf(
 				"conductor: %d engines ended while loading version %d, the last one %s; the next order follows in %s",
 				len(d.Starts), d.Version, d.Starts[len(d.Starts)-1], d.Pause)})
 			continue
 		}
 		n.emit(Renew{Command: c})
-		if _, ok := c.(renewer.Order); ok {
+		if _, ok := c.(updater.Order); ok {
 			ordered = true
 		}
 	}
 	if ordered {
 		// An engine refuses requests from its order on, so the others must know at once.
-		n.broadcast(&messenger.Message{Renewal: n.renewer.Status(now)})
+		n.broadcast(&messenger.Message{Renewal: n.updater.Status(now)})
 	}
 }
 
-func (n *Node) renewed(done renewer.Renewed) {
+func (n *Node) renewed(done updater.Renewed) {
 	n.viewDirty = n.state.WeightsLoaded(done.ID, done.Born, done.Model, done.Version) || n.viewDirty
 }
 
 func (n *Node) handleRenewalEnd(now time.Time, ev RenewalEnd) {
 	switch c := ev.Command.(type) {
-	case renewer.ReadLease:
-		n.renewer.LeaseRead(now, ev.Lease, ev.Err)
-	case renewer.WriteLease:
-		n.renewer.LeaseWritten(now, c, ev.Conflict, ev.Err)
-	case renewer.Order:
-		n.handleCommands(now, n.renewer.OrderAnswered(now, c, ev.Result))
-	case renewer.QueryVersion:
-		n.handleCommands(now, n.renewer.VersionReported(now, c, ev.Busy, ev.Version, ev.Err))
+	case updater.ReadLease:
+		n.updater.LeaseRead(now, ev.Lease, ev.Err)
+	case updater.WriteLease:
+		n.updater.LeaseWritten(now, c, ev.Conflict, ev.Err)
+	case updater.Order:
+		n.handleCommands(now, n.updater.OrderAnswered(now, c, ev.Result))
+	case updater.QueryVersion:
+		n.handleCommands(now, n.updater.VersionReported(now, c, ev.Busy, ev.Version, ev.Err))
 	}
 }
--- a/conductor/renewal_test.go
+++ b/conductor/renewal_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 
 	"amaranthgate.example/amaranthgate/follower"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
-// TestRenewedReachesAll: the renewer reports once that an engine has new weights. The report must
+// TestRenewedReachesAll: the updater reports once that an engine has new weights. The report must
 // reach all hosts, whichever kind of load report follows, in small and large fleets.
 func TestRenewedReachesAll(t *testing.T) {
 	for _, hosts := range []int{5, 40} {
@@ -27,8 +27,8 @@
 			}
 			engine := follower.Upstream{ID: "e", Service: "s", Standing: follower.StandingReady, Weights: map[string]uint64{"m": 1}}
 			view := &follower.View{Upstreams: follower.ListOf(engine), Versions: map[string]follower.VersionHistory{"m": {Version: 2}}}
-			s.node.renewer.Step(c.now, renewer.Input{View: view})
-			s.node.renewer.VersionReported(c.now, renewer.QueryVersion{Upstream: engine, Model: "m"}, false, 2, nil)
+			s.node.updater.Step(c.now, updater.Input{View: view})
+			s.node.updater.VersionReported(c.now, updater.QueryVersion{Upstream: engine, Model: "m"}, false, 2, nil)
 			ev := c.workReport(s)
 			ev.Urgent = urgent
 			c.execute(s, s.node.Handle(c.now, ev))
--- a/conductor/reports.go
+++ b/conductor/reports.go
@@ -31,7 +31,7 @@
 func (n *Node) reportWork(now time.Time, ev WorkReported) {
 	t, r := n.topology(), ev.Report
 	if t.small {
-		n.sendToNeighbours("", &messenger.Message{Report: &r, Renewal: n.renewer.Status(now),
+		n.sendToNeighbours("", &messenger.Message{Report: &r, Renewal: n.updater.Status(now),
 			Offsets: n.feedOffsets()})
 		return
 	}
@@ -60,17 +60,17 @@
 	}
 }
 
-// minStatusInterval is the least time between two renewer statuses to all hosts of a large fleet.
+// minStatusInterval is the least time between two updater statuses to all hosts of a large fleet.
 // It must stay well below the time after which they elect another lease holder.
 const minStatusInterval = 150 * time.Millisecond
 
-// broadcastRenewalStatus broadcasts the renewer's status. It takes a status only to send it, since
+// broadcastRenewalStatus broadcasts the updater's status. It takes a status only to send it, since
 // some of its contents are returned once.
 func (n *Node) broadcastRenewalStatus(now time.Time) {
 	if now.Sub(n.lastStatus) < minStatusInterval {
 		return
 	}
-	if s := n.renewer.Status(now); s != nil {
+	if s := n.updater.Status(now); s != nil {
 		n.lastStatus = now
 		n.broadcast(&messenger.Message{Renewal: s})
 	}
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -31,7 +31,7 @@
 	PageRequestInterval time.Duration // PageRequestInterval is the least time between requests to peers for a page.
 	ListingInterval     time.Duration // ListingInterval is the same for a whole listing in a large fleet.
 
-	// LeaseTerm is how long the renewer's lease lasts without renewal. After its holder dies, the
+	// LeaseTerm is how long the updater's lease lasts without renewal. After its holder dies, the
 	// next order follows a term, a turn and a margin later.
 	LeaseTerm   time.Duration
 	LeaseMargin time.Duration // LeaseMargin is subtracted from the term by the holder and added by others.
--- a/experimenter/fleetmodel.go
+++ b/experimenter/fleetmodel.go
@@ -14,8 +14,8 @@
 	"amaranthgate.example/amaranthgate/matcher"
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/placer"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Parameters of the fleet simulation.
@@ -285,7 +285,7 @@
 			Peers: h.name, Callers: h.name, Cores: h.cores, LinkMbps: h.mbps,
 		},
 		Decoder: fleetDecoder{}, Timing: conductor.DefaultTiming(), FirstStart: first,
-		Renewer: renewer.Options{
+		Updater: updater.Options{
 			Host: h.name, Term: time.Second, HandoverGap: 3 * time.Second, Margin: 200 * time.Millisecond, AtOnce: 3,
 			Seed: m.rng.Uint64(),
 		},
--- a/internal/seeder/doc.go
+++ b/internal/seeder/doc.go
@@ -4,7 +4,7 @@
 // Package seeder fixes the seed of property-based tests with package rapid, so
 // that test results are reproducible. Flags run more cases with another seed:
 //
-//	go test ./renewer -run Random -rapid.seed=0 -rapid.checks=20000
+//	go test ./updater -run Random -rapid.seed=0 -rapid.checks=20000
 //
 // # Usage
 //
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -13,9 +13,9 @@
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/placer"
 	"amaranthgate.example/amaranthgate/quarantiner"
-	"amaranthgate.example/amaranthgate/renewer"
 	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Message is a message between hosts. Each field that is set is an independent part; a heartbeat
@@ -40,7 +40,7 @@
 	Records          []StreamRecord           `cbor:"17,keyasint,omitempty"` // Records were just read from the log.
 	Echo             bool                     `cbor:"18,keyasint,omitempty"` // Echo marks the reply to a heartbeat from no neighbour.
 	Report           *placer.Report           `cbor:"19,keyasint,omitempty"`
-	Renewal          *renewer.Status          `cbor:"21,keyasint,omitempty"`
+	Renewal          *updater.Status          `cbor:"21,keyasint,omitempty"`
 	Offsets          map[follower.Feed]int64  `cbor:"22,keyasint,omitempty"` // Offsets holds the sender's offset in each feed.
 	Relay            Relay                    `cbor:"23,keyasint,omitempty"` // Relay requests forwarding by the receiver.
 	Zone             string                   `cbor:"24,keyasint,omitempty"` // Zone is the availability zone that Report aggregates.
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/follower"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // PlacementRequest describes a request for the choice of an upstream.
@@ -196,7 +196,7 @@
 		if s.suspect == nil || t.suspectUntil.Before(s.suspect.suspectUntil) {
 			s.suspect = t
 		}
-	case t.phase == renewer.PhaseLoading || p.expired(now, t, req):
+	case t.phase == updater.PhaseLoading || p.expired(now, t, req):
 		s.fallback = t
 	case !p.admits(t, req):
 		s.busy = true
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Parameters of the cost estimate. Rates are assumed to be the same for all engines of a service;
@@ -88,7 +88,7 @@
 	if p.staleLoad(t) {
 		cost += staleLoadPenalty
 	}
-	if t.phase == renewer.PhaseNext {
+	if t.phase == updater.PhaseNext {
 		cost += weightLoadPenalty
 	}
 	weights := t.upstream.Weights[req.Prompt.Model]
--- a/placer/dump.go
+++ b/placer/dump.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Dump is the state of a Placer for inspection.
@@ -21,7 +21,7 @@
 	Others     Work
 	Failing    float64 // Failing is the smoothed failure rate.
 	Suspect    bool
-	Renewing   renewer.Phase // Renewing is empty for engines that are not about to load weights.
+	Renewing   updater.Phase // Renewing is empty for engines that are not about to load weights.
 	KeptParts  int
 	KeptTokens int
 	Slowness   float64   // Slowness is the ratio of observed to estimated time.
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"amaranthgate.example/amaranthgate/follower"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Options configure a Placer.
@@ -54,7 +54,7 @@
 	candidateBuf  []*target  // candidateBuf is reused for the candidates of each choice.
 	cacheIndex    cacheIndex // cacheIndex has the engines that cache each part.
 	view          *follower.View
-	phases        map[string]renewer.Phase
+	phases        map[string]updater.Phase
 	activeTargets map[*target]struct{} // activeTargets are those with requests of this host, now or lately.
 	peers         map[string]*peerWork
 	changed       map[*target]struct{} // changed are those whose own work has changed since the last report.
@@ -249,7 +249,7 @@
 }
 
 // SetPhases sets the engines that load weights now or will soon.
-func (p *Placer) SetPhases(phases map[string]renewer.Phase) {
+func (p *Placer) SetPhases(phases map[string]updater.Phase) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range p.phases {
@@ -262,7 +262,7 @@
 	p.notifyRoom()
 }
 
-func (p *Placer) setPhase(id string, phase renewer.Phase) {
+func (p *Placer) setPhase(id string, phase updater.Phase) {
 	if m := p.members[id]; m != nil && m.target != nil {
 		m.target.phase = phase
 	}
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -13,7 +13,7 @@
 
 	"amaranthgate.example/amaranthgate/follower"
 	"amaranthgate.example/amaranthgate/matcher"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 var start = time.Unix(1000, 0)
@@ -186,7 +186,7 @@
 	req := askFor("x", "own")
 	c, _ := p.Choose(start, req)
 	assert.Equal(t, c.Upstream.ID, "e1")
-	p.SetPhases(map[string]renewer.Phase{"e1": renewer.PhaseNext})
+	p.SetPhases(map[string]updater.Phase{"e1": updater.PhaseNext})
 	p.targetByInstance("e1").own = Work{}
 	c, _ = p.Choose(start, req)
 	assert.Assert(t, c.Upstream.ID != "e1")
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"amaranthgate.example/amaranthgate/follower"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // TestNoFetchAfterFree checks that stores serve replaced weights for a while, and that no host
@@ -107,17 +107,17 @@
 // serves.
 func TestLoadingEngines(t *testing.T) {
 	for _, c := range []struct {
-		phase renewer.Phase
+		phase updater.Phase
 		busy  bool
 		want  Verdict
 	}{
-		{renewer.PhaseLoading, false, Chosen},
-		{renewer.PhaseLoading, true, Busy},
-		{renewer.PhaseNext, true, Chosen},
+		{updater.PhaseLoading, false, Chosen},
+		{updater.PhaseLoading, true, Busy},
+		{updater.PhaseNext, true, Chosen},
 	} {
 		t.Run(fmt.Sprint(c.phase, " busy ", c.busy), func(t *testing.T) {
 			p := testPlacer(testView(2, 1))
-			p.SetPhases(map[string]renewer.Phase{"e0": c.phase})
+			p.SetPhases(map[string]updater.Phase{"e0": c.phase})
 			if c.busy {
 				p.targetByInstance("e1").peers = Work{Requests: 4, Memory: 59000}
 			}
--- a/placer/target.go
+++ b/placer/target.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/matcher"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Work is the load of requests in flight at an upstream.
@@ -56,7 +56,7 @@
 	suspectUntil time.Time
 	backoff      time.Duration
 	probing      bool
-	phase        renewer.Phase // phase is set while the engine loads weights or is about to.
+	phase        updater.Phase // phase is set while the engine loads weights or is about to.
 	cache        cacheEstimate
 }
 
--- a/renewer/doc.go
+++ b/updater/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package renewer rolls out weight versions to engines.
+// Package updater rolls out weight versions to engines.
 //
 // One host at a time sends load orders. It holds a lease, a record in the platform's
 // store that is written by compare-and-set. The holder counts its term from before it
@@ -21,14 +21,14 @@
 //
 // # Usage
 //
-//	r := renewer.New(renewer.Options{Host: "host-1", Term: 2 * time.Second, HandoverGap: 3 * time.Second})
-//	for _, c := range r.Step(now, renewer.Input{View: view, HostIndex: 0}) {
+//	up := updater.New(updater.Options{Host: "host-1", Term: 2 * time.Second, HandoverGap: 3 * time.Second})
+//	for _, c := range up.Step(now, updater.Input{View: view, HostIndex: 0}) {
 //		switch c := c.(type) {
-//		case renewer.ReadLease: ... // then r.LeaseRead
-//		case renewer.WriteLease: ... // then r.LeaseWritten
-//		case renewer.Order: ... // then r.OrderAnswered
-//		case renewer.QueryVersion: ... // then r.VersionReported
-//		case renewer.Renewed: ... // the engine has new weights
+//		case updater.ReadLease: ... // then up.LeaseRead
+//		case updater.WriteLease: ... // then up.LeaseWritten
+//		case updater.Order: ... // then up.OrderAnswered
+//		case updater.QueryVersion: ... // then up.VersionReported
+//		case updater.Renewed: ... // the engine has new weights
 //		}
 //	}
-package renewer
+package updater
--- a/renewer/doubt.go
+++ b/updater/doubt.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import (
 	"slices"
@@ -64,14 +64,14 @@
 }
 
 // engineEnded records that an engine ended with an unconfirmed order to load a version.
-func (r *Renewer) engineEnded(now time.Time, id string, j *job) {
+func (up *Updater) engineEnded(now time.Time, id string, j *job) {
 	if !j.unconfirmed {
 		return
 	}
-	d := r.doubts[j.model]
+	d := up.doubts[j.model]
 	if d == nil || d.version < j.version {
 		d = &doubt{version: j.version}
-		r.doubts[j.model] = d
+		up.doubts[j.model] = d
 	}
 	start := (&follower.Upstream{ID: id, Born: j.born}).InstanceID()
 	if d.version != j.version || !d.add(start) {
@@ -79,20 +79,20 @@
 	}
 	d.lastEnd = now
 	if len(d.starts) >= doubtThreshold {
-		r.events = append(r.events, Doubted{Model: j.model, Version: j.version, Starts: slices.Clone(d.starts), Pause: d.pause()})
+		up.events = append(up.events, Doubted{Model: j.model, Version: j.version, Starts: slices.Clone(d.starts), Pause: d.pause()})
 	}
 }
 
 // clearDoubt removes the doubt about a version that an engine has loaded.
-func (r *Renewer) clearDoubt(model string, version uint64) {
-	if d := r.doubts[model]; d != nil && d.version <= version {
-		delete(r.doubts, model)
+func (up *Updater) clearDoubt(model string, version uint64) {
+	if d := up.doubts[model]; d != nil && d.version <= version {
+		delete(up.doubts, model)
 	}
 }
 
 // loadAllowed reports whether one more engine may load the version while others may be loading it.
-func (r *Renewer) loadAllowed(now time.Time, model string, version uint64, others int) bool {
-	d := r.doubts[model]
+func (up *Updater) loadAllowed(now time.Time, model string, version uint64, others int) bool {
+	d := up.doubts[model]
 	if d == nil || d.version != version || len(d.starts) < doubtThreshold {
 		return true
 	}
@@ -106,21 +106,21 @@
 }
 
 // doubtList returns the doubted versions for the status.
-func (r *Renewer) doubtList(now time.Time) []Doubt {
+func (up *Updater) doubtList(now time.Time) []Doubt {
 	var out []Doubt
-	for model, d := range r.doubts {
+	for model, d := range up.doubts {
 		out = append(out, Doubt{Model: model, Version: d.version, Starts: d.starts, Age: now.Sub(d.lastEnd)})
 	}
 	return out
 }
 
 // mergeDoubts merges the doubts of another host.
-func (r *Renewer) mergeDoubts(now time.Time, doubts []Doubt) {
+func (up *Updater) mergeDoubts(now time.Time, doubts []Doubt) {
 	for _, t := range doubts {
-		d := r.doubts[t.Model]
+		d := up.doubts[t.Model]
 		if d == nil || d.version < t.Version {
 			d = &doubt{version: t.Version}
-			r.doubts[t.Model] = d
+			up.doubts[t.Model] = d
 		}
 		if d.version > t.Version {
 			continue
--- a/renewer/doubt_test.go
+++ b/updater/doubt_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import (
 	"fmt"
@@ -42,7 +42,7 @@
 func (f *fleet) run(d time.Duration) bool {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(simTick) {
 		f.finishLoads()
-		for _, c := range f.r.Step(f.now, Input{View: f.view, Busy: func(string) int { return 0 }}) {
+		for _, c := range f.updater.Step(f.now, Input{View: f.view, Busy: func(string) int { return 0 }}) {
 			f.execute(c)
 		}
 	}
@@ -57,17 +57,17 @@
 func (f *fleet) execute(c Command) {
 	switch c := c.(type) {
 	case ReadLease:
-		f.r.LeaseRead(f.now, f.r.lease.newest, nil)
+		f.updater.LeaseRead(f.now, f.updater.lease.newest, nil)
 	case WriteLease:
-		f.r.LeaseWritten(f.now, c, false, nil)
+		f.updater.LeaseWritten(f.now, c, false, nil)
 	case Order:
 		if _, busy := f.due[c.Upstream.ID]; !busy {
 			f.due[c.Upstream.ID] = f.now.Add(loadTime)
 		}
-		f.r.OrderAnswered(f.now, c, OrderAccepted)
+		f.updater.OrderAnswered(f.now, c, OrderAccepted)
 	case QueryVersion:
 		_, busy := f.due[c.Upstream.ID]
-		f.r.VersionReported(f.now, c, busy, c.Upstream.Weights["m"], nil)
+		f.updater.VersionReported(f.now, c, busy, c.Upstream.Weights["m"], nil)
 	}
 }
 
@@ -130,11 +130,11 @@
 	a.run(5 * time.Second)
 	b := newStepper("b")
 	b.now = a.now
-	b.r.HandleStatus(b.now, a.r.Status(a.now))
-	assert.Assert(t, !b.r.loadAllowed(b.now, "m", 2, 0))
-	assert.Assert(t, b.r.loadAllowed(b.now, "m", 3, 0))
-	assert.Assert(t, b.r.loadAllowed(b.now.Add(initialPause), "m", 2, 0))
-	assert.Assert(t, !b.r.loadAllowed(b.now.Add(initialPause), "m", 2, 1))
-	b.r.outdated(b.now, oneEngine(2, 2))
-	assert.Assert(t, b.r.loadAllowed(b.now, "m", 2, 1))
+	b.updater.HandleStatus(b.now, a.updater.Status(a.now))
+	assert.Assert(t, !b.updater.loadAllowed(b.now, "m", 2, 0))
+	assert.Assert(t, b.updater.loadAllowed(b.now, "m", 3, 0))
+	assert.Assert(t, b.updater.loadAllowed(b.now.Add(initialPause), "m", 2, 0))
+	assert.Assert(t, !b.updater.loadAllowed(b.now.Add(initialPause), "m", 2, 1))
+	b.updater.outdated(b.now, oneEngine(2, 2))
+	assert.Assert(t, b.updater.loadAllowed(b.now, "m", 2, 1))
 }
--- a/renewer/handover_test.go
+++ b/updater/handover_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import (
 	"testing"
@@ -24,7 +24,7 @@
 	for range 200 {
 		s.run(simTick)
 		// The isolated holder may send another order in every step.
-		for _, j := range s.hosts[0].renewer.jobs {
+		for _, j := range s.hosts[0].updater.jobs {
 			j.retryAt, j.loading, j.inFlight = time.Time{}, false, false
 		}
 		s.engines["e0"].pending = nil
@@ -67,7 +67,7 @@
 func TestManyEnginesLoadTogether(t *testing.T) {
 	for _, c := range []struct{ engines, want int }{{2, 2}, {9, 3}, {40, 8}} {
 		s := newSim(1, c.engines)
-		s.hosts[0].renewer.opts.Share = 0.2
+		s.hosts[0].updater.opts.Share = 0.2
 		s.run(3 * time.Second)
 		s.named = 2
 		s.run(500 * time.Millisecond)
--- a/renewer/lease.go
+++ b/updater/lease.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import "time"
 
@@ -36,18 +36,18 @@
 // minReadInterval is the minimum time between two reads of the lease.
 const minReadInterval = 300 * time.Millisecond
 
-func (r *Renewer) held(now time.Time) bool { return now.Before(r.lease.heldUntil) }
+func (up *Updater) held(now time.Time) bool { return now.Before(up.lease.heldUntil) }
 
 // acquire returns the next store call needed to obtain the lease.
-func (r *Renewer) acquire(now time.Time) []Command {
-	l := &r.lease
+func (up *Updater) acquire(now time.Time) []Command {
+	l := &up.lease
 	if l.inFlight {
 		return nil
 	}
-	free := l.newest.End == 0 || l.released || l.newest.Record.Host == r.opts.Host ||
-		now.Sub(l.firstSeen) > r.opts.Term+r.opts.Margin
+	free := l.newest.End == 0 || l.released || l.newest.Record.Host == up.opts.Host ||
+		now.Sub(l.firstSeen) > up.opts.Term+up.opts.Margin
 	if l.known && free {
-		return r.writeLease(now)
+		return up.writeLease(now)
 	}
 	if now.Sub(l.lastCall) < minReadInterval {
 		return nil
@@ -56,40 +56,40 @@
 	return []Command{ReadLease{}}
 }
 
-func (r *Renewer) writeLease(now time.Time) []Command {
-	l := &r.lease
+func (up *Updater) writeLease(now time.Time) []Command {
+	l := &up.lease
 	l.inFlight, l.lastCall = true, now
-	r.nonce++
-	l.sentAt[r.nonce] = now
-	return []Command{WriteLease{At: l.newest.End, Record: Record{Host: r.opts.Host, Nonce: r.nonce}}}
+	up.nonce++
+	l.sentAt[up.nonce] = now
+	return []Command{WriteLease{At: l.newest.End, Record: Record{Host: up.opts.Host, Nonce: up.nonce}}}
 }
 
 // renewLease extends the hold in the second half of its term.
-func (r *Renewer) renewLease(now time.Time) []Command {
-	if r.lease.inFlight || r.lease.heldUntil.Sub(now) > r.opts.Term/2 {
+func (up *Updater) renewLease(now time.Time) []Command {
+	if up.lease.inFlight || up.lease.heldUntil.Sub(now) > up.opts.Term/2 {
 		return nil
 	}
-	return r.writeLease(now)
+	return up.writeLease(now)
 }
 
 // LeaseRead processes the result of ReadLease.
-func (r *Renewer) LeaseRead(now time.Time, got Lease, err error) {
-	l := &r.lease
+func (up *Updater) LeaseRead(now time.Time, got Lease, err error) {
+	l := &up.lease
 	l.inFlight = false
 	if err != nil {
 		return
 	}
 	l.known = true
-	r.observeLease(now, got)
+	up.observeLease(now, got)
 	sent, mine := l.sentAt[got.Record.Nonce]
-	if mine && got.Record.Host == r.opts.Host {
-		r.extendHold(sent, got)
+	if mine && got.Record.Host == up.opts.Host {
+		up.extendHold(sent, got)
 	}
 }
 
 // observeLease stores a lease record that is newer than the one known.
-func (r *Renewer) observeLease(now time.Time, got Lease) {
-	l := &r.lease
+func (up *Updater) observeLease(now time.Time, got Lease) {
+	l := &up.lease
 	if got.End <= l.newest.End {
 		return
 	}
@@ -97,14 +97,14 @@
 }
 
 // extendHold begins or extends this host's hold with a record that it sent at the given time.
-func (r *Renewer) extendHold(sent time.Time, got Lease) {
-	l := &r.lease
-	if l.token == 0 || l.newest.Record.Host != r.opts.Host {
-		r.takeOver()
+func (up *Updater) extendHold(sent time.Time, got Lease) {
+	l := &up.lease
+	if l.token == 0 || l.newest.Record.Host != up.opts.Host {
+		up.takeOver()
 		l.token = uint64(got.End)
 	}
 	l.newest, l.known, l.released = got, true, false
-	l.heldUntil = sent.Add(r.opts.Term - r.opts.Margin)
+	l.heldUntil = sent.Add(up.opts.Term - up.opts.Margin)
 	clear(l.sentAt)
 }
 
@@ -112,26 +112,26 @@
 // of the previous holder. If that holder released the lease, its status listed its recent orders and
 // its own remaining wait. A process that finds its own host's record does not know the holder before
 // it, and waits one turn from its start.
-func (r *Renewer) takeOver() {
-	l := &r.lease
+func (up *Updater) takeOver() {
+	l := &up.lease
 	switch {
 	case l.newest.End == 0:
 		return
 	case l.released:
-		r.notBefore = l.orderFrom
+		up.notBefore = l.orderFrom
 		return
-	case l.newest.Record.Host == r.opts.Host:
-		r.notBefore = r.started.Add(r.opts.HandoverGap + r.opts.Margin)
+	case l.newest.Record.Host == up.opts.Host:
+		up.notBefore = up.started.Add(up.opts.HandoverGap + up.opts.Margin)
 		return
 	}
 	l.prior = l.newest
-	r.notBefore = l.firstSeen.Add(r.opts.Term + r.opts.HandoverGap + r.opts.Margin)
+	up.notBefore = l.firstSeen.Add(up.opts.Term + up.opts.HandoverGap + up.opts.Margin)
 }
 
 // LeaseWritten processes the result of WriteLease. conflict reports that another record was written
 // first; after any other error the write may have succeeded, or may still succeed.
-func (r *Renewer) LeaseWritten(now time.Time, c WriteLease, conflict bool, err error) {
-	l := &r.lease
+func (up *Updater) LeaseWritten(now time.Time, c WriteLease, conflict bool, err error) {
+	l := &up.lease
 	l.inFlight = false
 	if conflict || err != nil {
 		l.known = false // the current record must be read again
@@ -142,6 +142,6 @@
 		return
 	}
 	got := Lease{Record: c.Record, End: c.At + 1}
-	r.extendHold(sent, got)
+	up.extendHold(sent, got)
 	l.firstSeen = now
 }
--- a/renewer/random_test.go
+++ b/updater/random_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import (
 	"errors"
@@ -31,7 +31,7 @@
 
 type simHost struct {
 	name         string
-	renewer      *Renewer
+	updater      *Updater
 	starts       uint64
 	down         bool // down is set while the process is not running.
 	paused       bool
@@ -80,7 +80,7 @@
 func (s *sim) start(h *simHost) {
 	h.starts++
 	h.down = false
-	h.renewer = New(Options{Host: h.name, Term: 2 * time.Second, HandoverGap: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3, Seed: h.starts * 1e6})
+	h.updater = New(Options{Host: h.name, Term: 2 * time.Second, HandoverGap: simTurn, Margin: 250 * time.Millisecond, AtOnce: 3, Seed: h.starts * 1e6})
 }
 
 func (s *sim) view() *follower.View {
@@ -104,8 +104,8 @@
 					place++
 				}
 			}
-			s.execute(h, h.renewer.Step(s.now, Input{View: s.view(), HostIndex: place, Busy: func(string) int { return 0 }}))
-			if st := h.renewer.Status(s.now); st != nil {
+			s.execute(h, h.updater.Step(s.now, Input{View: s.view(), HostIndex: place, Busy: func(string) int { return 0 }}))
+			if st := h.updater.Status(s.now); st != nil {
 				s.broadcast(h, st)
 			}
 		}
@@ -136,7 +136,7 @@
 func (s *sim) broadcast(from *simHost, st *Status) {
 	for _, h := range s.hosts {
 		if h != from && !h.down && !h.paused && !h.noPeers && !from.noPeers {
-			h.renewer.HandleStatus(s.now, st)
+			h.updater.HandleStatus(s.now, st)
 		}
 	}
 }
@@ -146,17 +146,17 @@
 		switch c := c.(type) {
 		case ReadLease:
 			if h.noStore || h.losesAnswers {
-				h.renewer.LeaseRead(s.now, Lease{}, errSim)
+				h.updater.LeaseRead(s.now, Lease{}, errSim)
 				continue
 			}
-			h.renewer.LeaseRead(s.now, s.lease, nil)
+			h.updater.LeaseRead(s.now, s.lease, nil)
 		case WriteLease:
 			s.write(h, c)
 		case Order:
 			s.order(h, c)
 		case QueryVersion:
 			e := s.engines[c.Upstream.ID]
-			s.execute(h, h.renewer.VersionReported(s.now, c, e.loading > 0, e.version, nil))
+			s.execute(h, h.updater.VersionReported(s.now, c, e.loading > 0, e.version, nil))
 		}
 	}
 }
@@ -164,15 +164,15 @@
 func (s *sim) write(h *simHost, c WriteLease) {
 	switch {
 	case h.noStore:
-		h.renewer.LeaseWritten(s.now, c, false, errSim)
+		h.updater.LeaseWritten(s.now, c, false, errSim)
 	case h.losesAnswers:
 		s.late = append(s.late, lateWrite{at: s.now.Add(3 * time.Second), write: c})
-		h.renewer.LeaseWritten(s.now, c, false, errSim)
+		h.updater.LeaseWritten(s.now, c, false, errSim)
 	case c.At != s.lease.End:
-		h.renewer.LeaseWritten(s.now, c, true, nil)
+		h.updater.LeaseWritten(s.now, c, true, nil)
 	default:
 		s.lease = Lease{Record: c.Record, End: c.At + 1}
-		h.renewer.LeaseWritten(s.now, c, false, nil)
+		h.updater.LeaseWritten(s.now, c, false, nil)
 	}
 }
 
@@ -190,14 +190,14 @@
 	switch {
 	case e.slow:
 		e.pending, e.due = append(e.pending, o), s.now.Add(4*time.Second)
-		h.renewer.OrderAnswered(s.now, o, OrderUnknown)
+		h.updater.OrderAnswered(s.now, o, OrderUnknown)
 	case e.version >= o.Version:
-		s.execute(h, h.renewer.OrderAnswered(s.now, o, OrderHolds))
+		s.execute(h, h.updater.OrderAnswered(s.now, o, OrderHolds))
 	case e.loading > 0:
-		h.renewer.OrderAnswered(s.now, o, OrderAccepted)
+		h.updater.OrderAnswered(s.now, o, OrderAccepted)
 	default:
 		e.loading, e.until = o.Version, s.now.Add(900*time.Millisecond)
-		h.renewer.OrderAnswered(s.now, o, OrderAccepted)
+		h.updater.OrderAnswered(s.now, o, OrderAccepted)
 	}
 }
 
--- a/renewer/status.go
+++ b/updater/status.go
@@ -1,36 +1,36 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import "time"
 
 // Status returns what the other hosts need to know, or nil if there is nothing to report.
-func (r *Renewer) Status(now time.Time) *Status {
-	holding := r.held(now)
-	if !holding && !r.wasHeld && len(r.completed) == 0 {
+func (up *Updater) Status(now time.Time) *Status {
+	holding := up.held(now)
+	if !holding && !up.wasHeld && len(up.completed) == 0 {
 		return nil
 	}
-	s := &Status{Lease: r.lease.newest, Holding: holding, Renewed: r.completed}
-	r.completed = nil
-	if holding || r.wasHeld {
-		s.Ordered = r.recentOrders(now)
-		s.Wait = max(0, r.notBefore.Sub(now))
-		for id, j := range r.jobs {
+	s := &Status{Lease: up.lease.newest, Holding: holding, Renewed: up.completed}
+	up.completed = nil
+	if holding || up.wasHeld {
+		s.Ordered = up.recentOrders(now)
+		s.Wait = max(0, up.notBefore.Sub(now))
+		for id, j := range up.jobs {
 			if j.loading {
 				s.Loading = append(s.Loading, id)
 			}
 		}
-		s.Next = append(s.Next, r.next...)
-		s.Doubts = r.doubtList(now)
+		s.Next = append(s.Next, up.next...)
+		s.Doubts = up.doubtList(now)
 	}
-	if !holding && r.wasHeld {
+	if !holding && up.wasHeld {
 		// No more orders are sent under this hold, so the next holder need not wait for its term to end.
-		s.Stopped = r.lease.newest.Record.Host == r.opts.Host
-		r.wasHeld = false
+		s.Stopped = up.lease.newest.Record.Host == up.opts.Host
+		up.wasHeld = false
 		if s.Stopped {
-			r.lease.token = 0
-			clear(r.lease.sentAt) // a write that succeeds later must not grant a hold
+			up.lease.token = 0
+			clear(up.lease.sentAt) // a write that succeeds later must not grant a hold
 		}
 	}
 	return s
@@ -38,12 +38,12 @@
 
 // recentOrders returns, for each engine that any host ordered within the last turn, how long ago
 // that was. Orders reported by other hosts are included, so that they survive several handovers.
-func (r *Renewer) recentOrders(now time.Time) map[string]time.Duration {
+func (up *Updater) recentOrders(now time.Time) map[string]time.Duration {
 	out := make(map[string]time.Duration)
-	for _, orders := range []map[string]time.Time{r.ownOrders, r.othersOrders} {
+	for _, orders := range []map[string]time.Time{up.ownOrders, up.othersOrders} {
 		for id, at := range orders {
 			age := now.Sub(at)
-			if age > r.opts.HandoverGap+r.opts.Margin {
+			if age > up.opts.HandoverGap+up.opts.Margin {
 				delete(orders, id)
 				continue
 			}
@@ -56,29 +56,29 @@
 }
 
 // HandleStatus processes the status of another host.
-func (r *Renewer) HandleStatus(now time.Time, s *Status) {
-	r.observeLease(now, s.Lease)
-	r.mergeDoubts(now, s.Doubts)
+func (up *Updater) HandleStatus(now time.Time, s *Status) {
+	up.observeLease(now, s.Lease)
+	up.mergeDoubts(now, s.Doubts)
 	if s.Holding {
-		r.holderSeen = now
+		up.holderSeen = now
 	}
 	for id, age := range s.Ordered {
-		if at := now.Add(-age); at.After(r.othersOrders[id]) {
-			r.othersOrders[id] = at
+		if at := now.Add(-age); at.After(up.othersOrders[id]) {
+			up.othersOrders[id] = at
 		}
 	}
 	if s.Holding || s.Stopped {
-		replaceAll(r.othersLoading, s.Loading, now.Add(statusTTL))
-		replaceAll(r.othersNext, s.Next, now.Add(statusTTL))
+		replaceAll(up.othersLoading, s.Loading, now.Add(statusTTL))
+		replaceAll(up.othersNext, s.Next, now.Add(statusTTL))
 	}
 	switch {
 	case !s.Stopped:
-	case s.Lease == r.lease.newest:
-		r.holderSeen = time.Time{}
-		r.lease.released, r.lease.orderFrom = true, now.Add(s.Wait)
-	case s.Lease == r.lease.prior:
+	case s.Lease == up.lease.newest:
+		up.holderSeen = time.Time{}
+		up.lease.released, up.lease.orderFrom = true, now.Add(s.Wait)
+	case s.Lease == up.lease.prior:
 		// This host has already taken over; it need not wait for the rest of the previous term.
-		r.notBefore = now.Add(s.Wait)
+		up.notBefore = now.Add(s.Wait)
 	}
 }
 
@@ -101,7 +101,7 @@
 )
 
 // Phases returns the engines that are loading or will be ordered soon.
-func (r *Renewer) Phases(now time.Time) map[string]Phase {
+func (up *Updater) Phases(now time.Time) map[string]Phase {
 	out := make(map[string]Phase)
 	add := func(noted map[string]time.Time, phase Phase) {
 		for id, until := range noted {
@@ -110,12 +110,12 @@
 			}
 		}
 	}
-	add(r.othersNext, PhaseNext)
-	for _, id := range r.next {
+	add(up.othersNext, PhaseNext)
+	for _, id := range up.next {
 		out[id] = PhaseNext
 	}
-	add(r.othersLoading, PhaseLoading)
-	for id, j := range r.jobs {
+	add(up.othersLoading, PhaseLoading)
+	for id, j := range up.jobs {
 		if j.loading {
 			out[id] = PhaseLoading
 		}
--- a/renewer/status_test.go
+++ b/updater/status_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import (
 	"testing"
--- a/renewer/turns_test.go
+++ b/updater/turns_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import (
 	"testing"
@@ -20,17 +20,17 @@
 	}
 }
 
-// stepper runs a single Renewer.
+// stepper runs a single Updater.
 type stepper struct {
-	now time.Time
-	r   *Renewer
-	end int64 // end is the offset after the newest lease record.
+	now     time.Time
+	updater *Updater
+	end     int64 // end is the offset after the newest lease record.
 }
 
 func newStepper(host string) *stepper {
 	return &stepper{
-		now: time.Unix(1000, 0),
-		r:   New(Options{Host: host, Term: time.Second, HandoverGap: simTurn, Margin: 200 * time.Millisecond, AtOnce: 3, Seed: 10}),
+		now:     time.Unix(1000, 0),
+		updater: New(Options{Host: host, Term: time.Second, HandoverGap: simTurn, Margin: 200 * time.Millisecond, AtOnce: 3, Seed: 10}),
 	}
 }
 
@@ -38,13 +38,13 @@
 func (s *stepper) collectOrders(d time.Duration, view *follower.View) []Order {
 	var out []Order
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simTick) {
-		for _, c := range s.r.Step(s.now, Input{View: view, Busy: func(string) int { return 0 }}) {
+		for _, c := range s.updater.Step(s.now, Input{View: view, Busy: func(string) int { return 0 }}) {
 			switch c := c.(type) {
 			case ReadLease:
-				s.r.LeaseRead(s.now, s.r.lease.newest, nil)
+				s.updater.LeaseRead(s.now, s.updater.lease.newest, nil)
 			case WriteLease:
 				s.end = c.At + 1
-				s.r.LeaseWritten(s.now, c, false, nil)
+				s.updater.LeaseWritten(s.now, c, false, nil)
 			case Order:
 				out = append(out, c)
 			}
@@ -59,16 +59,16 @@
 	a, b := newStepper("a"), newStepper("b")
 	orders := a.collectOrders(3*simTick, oneEngine(1, 2)) // read the lease, write it, order
 	assert.Equal(t, len(orders), 1)
-	a.r.OrderAnswered(a.now, orders[0], OrderHolds)
+	a.updater.OrderAnswered(a.now, orders[0], OrderHolds)
 	b.now = a.now
 	for range 30 {
 		a.collectOrders(simTick, oneEngine(2, 2))
 		b.now = a.now
-		if st := a.r.Status(a.now); st != nil {
-			b.r.HandleStatus(b.now, st)
+		if st := a.updater.Status(a.now); st != nil {
+			b.updater.HandleStatus(b.now, st)
 		}
 	}
-	assert.Assert(t, b.r.lease.released, "the hold has ended and that was said")
+	assert.Assert(t, b.updater.lease.released, "the hold has ended and that was said")
 	assert.Equal(t, len(b.collectOrders(time.Second, oneEngine(2, 3))), 0, "ordered within a turn of another host")
 	assert.Equal(t, len(b.collectOrders(simTurn, oneEngine(2, 3))), 1)
 }
@@ -77,7 +77,7 @@
 // turn, as it does not know the orders of earlier holders.
 func TestRestartedHolderWaitsATurn(t *testing.T) {
 	s := newStepper("a")
-	s.r.LeaseRead(s.now, Lease{Record: Record{Host: "a", Nonce: 3}, End: 7}, nil)
+	s.updater.LeaseRead(s.now, Lease{Record: Record{Host: "a", Nonce: 3}, End: 7}, nil)
 	assert.Equal(t, len(s.collectOrders(simTurn, oneEngine(1, 2))), 0, "ordered right after its start")
 	assert.Equal(t, len(s.collectOrders(time.Second, oneEngine(1, 2))), 1)
 }
@@ -88,17 +88,17 @@
 	silent := Lease{Record: Record{Host: "a", Nonce: 3}, End: 7}
 	b, c := newStepper("b"), newStepper("c")
 	seen := b.now
-	b.r.LeaseRead(b.now, silent, nil)
+	b.updater.LeaseRead(b.now, silent, nil)
 	assert.Equal(t, len(b.collectOrders(2*time.Second, oneEngine(1, 2))), 0)
-	assert.Assert(t, b.r.held(b.now))
+	assert.Assert(t, b.updater.held(b.now))
 	for range 30 { // no work is left for b, and its hold ends
 		b.collectOrders(simTick, oneEngine(2, 2))
 		c.now = b.now
-		if st := b.r.Status(b.now); st != nil {
-			c.r.HandleStatus(c.now, st)
+		if st := b.updater.Status(b.now); st != nil {
+			c.updater.HandleStatus(c.now, st)
 		}
 	}
-	assert.Assert(t, c.r.lease.released)
+	assert.Assert(t, c.updater.lease.released)
 	turn := seen.Add(time.Second + simTurn + 200*time.Millisecond)
 	assert.Equal(t, len(c.collectOrders(turn.Sub(c.now), oneEngine(1, 3))), 0, "ordered within a turn of the holder that fell silent")
 	assert.Equal(t, len(c.collectOrders(time.Second, oneEngine(1, 3))), 1)
--- a/renewer/renewer.go
+++ b/updater/updater.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-package renewer
+package updater
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"amaranthgate.example/amaranthgate/follower"
 )
 
-// Options configure a Renewer.
+// Options configure an Updater.
 type Options struct {
 	Host        string
 	Term        time.Duration // Term is how long a hold lasts without renewal.
@@ -119,8 +119,8 @@
 	polledAt         time.Time // polledAt is when the last call to the engine began.
 }
 
-// Renewer is one host's part in a rollout. It is not safe for concurrent use.
-type Renewer struct {
+// Updater is one host's part in a rollout. It is not safe for concurrent use.
+type Updater struct {
 	opts          Options
 	lease         lease
 	nonce         uint64
@@ -143,9 +143,9 @@
 	doubts        map[string]*doubt    // doubts is by model; it has only versions whose load has ended engines.
 }
 
-// New returns a Renewer without knowledge of the lease.
-func New(opts Options) *Renewer {
-	return &Renewer{
+// New returns an Updater without knowledge of the lease.
+func New(opts Options) *Updater {
+	return &Updater{
 		opts:          opts,
 		nonce:         opts.Seed,
 		lease:         lease{sentAt: make(map[uint64]time.Time)},
@@ -159,104 +159,104 @@
 }
 
 // Step returns the commands to execute now.
-func (r *Renewer) Step(now time.Time, in Input) []Command {
-	if r.started.IsZero() {
-		r.started = now
+func (up *Updater) Step(now time.Time, in Input) []Command {
+	if up.started.IsZero() {
+		up.started = now
 	}
-	lagging := r.outdated(now, in.View)
-	r.next = nil
+	lagging := up.outdated(now, in.View)
+	up.next = nil
 	if len(lagging) == 0 {
-		r.laggingSince = time.Time{}
-		clear(r.jobs)
-		if in.HostIndex < maxIdleReaders && !r.lease.known && !r.lease.inFlight && now.Sub(r.lease.lastCall) > r.opts.Term {
+		up.laggingSince = time.Time{}
+		clear(up.jobs)
+		if in.HostIndex < maxIdleReaders && !up.lease.known && !up.lease.inFlight && now.Sub(up.lease.lastCall) > up.opts.Term {
 			// An expired record must have been seen for a whole term; reading it early saves that wait.
-			r.lease.inFlight, r.lease.lastCall = true, now
+			up.lease.inFlight, up.lease.lastCall = true, now
 			return []Command{ReadLease{}}
 		}
 		return nil
 	}
-	if r.laggingSince.IsZero() {
-		r.laggingSince = now
+	if up.laggingSince.IsZero() {
+		up.laggingSince = now
 	}
-	if !r.held(now) {
-		if now.Sub(r.laggingSince) < time.Duration(in.HostIndex)*placeDelay || now.Sub(r.holderSeen) < holderTimeout {
+	if !up.held(now) {
+		if now.Sub(up.laggingSince) < time.Duration(in.HostIndex)*placeDelay || now.Sub(up.holderSeen) < holderTimeout {
 			return nil
 		}
-		return r.acquire(now)
+		return up.acquire(now)
 	}
-	r.wasHeld = true
-	out := append(r.renewLease(now), r.work(now, in, lagging)...)
-	out, r.events = append(out, r.events...), nil
+	up.wasHeld = true
+	out := append(up.renewLease(now), up.work(now, in, lagging)...)
+	out, up.events = append(out, up.events...), nil
 	return out
 }
 
 // outdated returns the ready engines with outdated weights, and removes the jobs of all others.
-func (r *Renewer) outdated(now time.Time, view *follower.View) []follower.Upstream {
-	if view == r.upToDate || r.staysUpToDate(view) {
-		r.upToDate = view
+func (up *Updater) outdated(now time.Time, view *follower.View) []follower.Upstream {
+	if view == up.upToDate || up.staysUpToDate(view) {
+		up.upToDate = view
 		return nil
 	}
-	if view == r.scanned && len(r.doubts) == 0 {
-		return r.lagging
+	if view == up.scanned && len(up.doubts) == 0 {
+		return up.lagging
 	}
-	r.scanned = view
+	up.scanned = view
 	var lagging []follower.Upstream
 	present, behind := make(map[string]bool), make(map[string]bool)
 	for u := range view.Upstreams.All() {
 		present[u.ID] = true
 		for model, has := range u.Weights {
-			r.clearDoubt(model, has)
+			up.clearDoubt(model, has)
 			if u.Standing == follower.StandingReady && has < view.Versions[model].Version && !behind[u.ID] {
 				lagging = append(lagging, *u)
 				behind[u.ID] = true
-				r.updateJob(now, u, model, view.Versions[model].Version)
+				up.updateJob(now, u, model, view.Versions[model].Version)
 			}
 		}
 	}
-	for id, j := range r.jobs {
+	for id, j := range up.jobs {
 		if !present[id] {
-			r.engineEnded(now, id, j) // a restarted engine has another ID
+			up.engineEnded(now, id, j) // a restarted engine has another ID
 		}
 		if !behind[id] {
-			delete(r.jobs, id)
+			delete(up.jobs, id)
 		}
 	}
 	if len(lagging) == 0 {
-		r.upToDate = view
+		up.upToDate = view
 	}
-	r.lagging = lagging
+	up.lagging = lagging
 	return lagging
 }
 
 // staysUpToDate reports whether no engine has outdated weights, by examining only the engines that
 // changed since the last such view.
-func (r *Renewer) staysUpToDate(view *follower.View) bool {
-	if r.upToDate == nil || !maps.EqualFunc(r.upToDate.Versions, view.Versions, func(a, b follower.VersionHistory) bool {
+func (up *Updater) staysUpToDate(view *follower.View) bool {
+	if up.upToDate == nil || !maps.EqualFunc(up.upToDate.Versions, view.Versions, func(a, b follower.VersionHistory) bool {
 		return a.Version == b.Version
 	}) {
 		return false
 	}
-	put, _ := view.Upstreams.Since(r.upToDate.Upstreams)
+	put, _ := view.Upstreams.Since(up.upToDate.Upstreams)
 	for _, u := range put {
 		for model, has := range u.Weights {
 			if has < view.Versions[model].Version {
 				return false
 			}
-			r.clearDoubt(model, has)
+			up.clearDoubt(model, has)
 		}
 	}
 	return true
 }
 
 // updateJob creates the job of an engine, or updates it to a newly named version.
-func (r *Renewer) updateJob(now time.Time, u *follower.Upstream, model string, version uint64) {
-	j := r.jobs[u.ID]
+func (up *Updater) updateJob(now time.Time, u *follower.Upstream, model string, version uint64) {
+	j := up.jobs[u.ID]
 	if j != nil && j.born != u.Born {
-		r.engineEnded(now, u.ID, j)
+		up.engineEnded(now, u.ID, j)
 	}
 	if j == nil || j.born != u.Born {
 		j = &job{born: u.Born}
-		r.jobs[u.ID] = j
+		up.jobs[u.ID] = j
 	}
 	if j.version != version || j.model != model {
 		j.model, j.version = model, version
@@ -265,15 +265,15 @@
 }
 
 // work returns the orders and polls that are due.
-func (r *Renewer) work(now time.Time, in Input, lagging []follower.Upstream) []Command {
+func (up *Updater) work(now time.Time, in Input, lagging []follower.Upstream) []Command {
 	slices.SortStableFunc(lagging, func(a, b follower.Upstream) int {
 		return cmp.Or(cmp.Compare(in.Busy(a.InstanceID()), in.Busy(b.InstanceID())), cmp.Compare(a.ID, b.ID))
 	})
-	atOnce := max(r.opts.AtOnce, int(r.opts.Share*float64(countEngines(in.View))))
+	atOnce := max(up.opts.AtOnce, int(up.opts.Share*float64(countEngines(in.View))))
 	var out []Command
 	loading, loadingOf := 0, make(map[string]int) // loadingOf counts engines that may be loading, by model
 	for _, u := range lagging {
-		j := r.jobs[u.ID]
+		j := up.jobs[u.ID]
 		if j.mayBeLoading(now) {
 			loadingOf[j.model]++
 		}
@@ -290,13 +290,13 @@
 		}
 	}
 	for _, u := range lagging {
-		j := r.jobs[u.ID]
+		j := up.jobs[u.ID]
 		if j.loading || j.inFlight {
 			continue
 		}
 		if loading >= atOnce {
-			if len(r.next) < atOnce {
-				r.next = append(r.next, u.ID)
+			if len(up.next) < atOnce {
+				up.next = append(up.next, u.ID)
 			}
 			continue
 		}
@@ -304,7 +304,7 @@
 		if j.mayBeLoading(now) {
 			others-- // the engine itself is ordered again
 		}
-		if !r.orderAllowed(now, u.ID, j) || !r.loadAllowed(now, j.model, j.version, others) {
+		if !up.orderAllowed(now, u.ID, j) || !up.loadAllowed(now, j.model, j.version, others) {
 			continue
 		}
 		loading++
@@ -314,8 +314,8 @@
 		}
 		j.loading, j.inFlight, j.orderedAt, j.polledAt = true, true, now, now
 		j.retryAt = now.Add(orderRetryDelay)
-		r.ownOrders[u.ID] = now
-		out = append(out, Order{Upstream: u, Model: j.model, Version: j.version, Token: r.lease.token})
+		up.ownOrders[u.ID] = now
+		out = append(out, Order{Upstream: u, Model: j.model, Version: j.version, Token: up.lease.token})
 	}
 	return out
 }
@@ -332,12 +332,12 @@
 }
 
 // orderAllowed reports whether the engine may be ordered now.
-func (r *Renewer) orderAllowed(now time.Time, id string, j *job) bool {
-	if now.Before(r.notBefore) || now.Before(j.retryAt) {
+func (up *Updater) orderAllowed(now time.Time, id string, j *job) bool {
+	if now.Before(up.notBefore) || now.Before(j.retryAt) {
 		return false
 	}
-	last, ok := r.othersOrders[id]
-	return !ok || now.Sub(last) > r.opts.HandoverGap+r.opts.Margin
+	last, ok := up.othersOrders[id]
+	return !ok || now.Sub(last) > up.opts.HandoverGap+up.opts.Margin
 }
 
 // OrderResult is the outcome of an order.
@@ -351,8 +351,8 @@
 )
 
 // OrderAnswered processes the answer to an order.
-func (r *Renewer) OrderAnswered(now time.Time, o Order, result OrderResult) []Command {
-	j := r.jobs[o.Upstream.ID]
+func (up *Updater) OrderAnswered(now time.Time, o Order, result OrderResult) []Command {
+	j := up.jobs[o.Upstream.ID]
 	if j == nil || j.born != o.Upstream.Born {
 		return nil // the engine has restarted since the order
 	}
@@ -360,7 +360,7 @@
 	switch result {
 	case OrderHolds:
 		if j.version == o.Version {
-			return r.renewed(&o.Upstream, o.Model, o.Version)
+			return up.renewed(&o.Upstream, o.Model, o.Version)
 		}
 		j.loading, j.unconfirmed, j.retryAt = false, false, now
 	case OrderRefused:
@@ -371,8 +371,8 @@
 }
 
 // VersionReported processes an engine's answer to QueryVersion.
-func (r *Renewer) VersionReported(now time.Time, q QueryVersion, busy bool, version uint64, err error) []Command {
-	j := r.jobs[q.Upstream.ID]
+func (up *Updater) VersionReported(now time.Time, q QueryVersion, busy bool, version uint64, err error) []Command {
+	j := up.jobs[q.Upstream.ID]
 	if j == nil || j.born != q.Upstream.Born {
 		return nil
 	}
@@ -388,12 +388,12 @@
 	if version == 0 {
 		return nil
 	}
-	return r.renewed(&q.Upstream, q.Model, version)
+	return up.renewed(&q.Upstream, q.Model, version)
 }
 
-func (r *Renewer) renewed(u *follower.Upstream, model string, version uint64) []Command {
-	r.clearDoubt(model, version)
+func (up *Updater) renewed(u *follower.Upstream, model string, version uint64) []Command {
+	up.clearDoubt(model, version)
 	done := Renewed{ID: u.ID, Born: u.Born, Model: model, Version: version}
-	r.completed = append(r.completed, done)
+	up.completed = append(up.completed, done)
 	return []Command{done}
 }
