--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -22,7 +22,7 @@
 
 	LongPoll     time.Duration // LongPoll is how long the store waits for the next record.
 	TakeoverAge  time.Duration // TakeoverAge is the age of a feed from which the second host in rank reads it.
-	TakeoverStep time.Duration // TakeoverStep is added to TakeoverAge for each further place.
+	TakeoverStep time.Duration // TakeoverStep is added to TakeoverAge for each further rank.
 	ReadInterval time.Duration // ReadInterval is the least time between two reads, so that records accumulate.
 	// ReadIntervalLarge is ReadInterval in a large fleet, where each page goes to all hosts.
 	ReadIntervalLarge   time.Duration
@@ -31,7 +31,7 @@
 	PageRequestInterval time.Duration // PageRequestInterval is the least time between requests to peers for a page.
 	ListingInterval     time.Duration // ListingInterval is the same for a whole listing in a large fleet.
 
-	// LeaseTerm is how long the renewer's lease lasts without renewal. After its holder dies, the
+	// LeaseTerm is how long the updater's lease lasts without renewal. After its holder dies, the
 	// next order follows a term, a turn and a margin later.
 	LeaseTerm   time.Duration
 	LeaseMargin time.Duration // LeaseMargin is subtracted from the term by the holder and added by others.
--- a/controller/claims.go
+++ b/controller/claims.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"amaranthgate.example/amaranthgate/claimer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/messenger"
+	"amaranthgate.example/amaranthgate/replayer"
 )
 
 // claimRange is the state of a range of claims that this host owns.
@@ -36,7 +36,7 @@
 	for i := range n.ranges {
 		n.tickRange(now, i)
 	}
-	n.applySteps(now, n.claimant.Tick(now))
+	n.applyClaimantEffects(now, n.claimant.Tick(now))
 }
 
 func (n *Node) tickRange(now time.Time, i int) {
@@ -50,7 +50,7 @@
 		c = &claimRange{index: i, table: claimer.NewTable()}
 		c.owner = claimer.NewOwner(n.writer, c.table, n.claimPolicy())
 		n.ranges[i] = c
-		n.follow(now, name, c.table, n.opts.GroupCommit, func(now time.Time, rec folder.Applied) {
+		n.follow(now, name, c.table, n.opts.GroupCommit, func(now time.Time, rec replayer.Applied) {
 			n.applyEffects(now, c, c.owner.Applied(now, rec))
 		})
 		return
@@ -77,7 +77,7 @@
 	byHost := make(map[string][]claimer.Reply)
 	for _, p := range fx.Send {
 		if p.To == n.opts.Self.Host {
-			n.applySteps(now, n.claimant.HandleReply(now, p.Reply))
+			n.applyClaimantEffects(now, n.claimant.HandleReply(now, p.Reply))
 			continue
 		}
 		byHost[p.To] = append(byHost[p.To], p.Reply)
@@ -87,8 +87,8 @@
 	}
 }
 
-// applySteps settles claims and sends messages as the claimant returned.
-func (n *Node) applySteps(now time.Time, s claimer.ClaimantEffects) {
+// applyClaimantEffects settles claims and sends messages as the claimant returned.
+func (n *Node) applyClaimantEffects(now time.Time, s claimer.ClaimantEffects) {
 	for _, settled := range s.Settled {
 		n.emit(Settle{Settled: settled})
 	}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -10,9 +10,9 @@
 	"amaranthgate.example/amaranthgate/claimer"
 	"amaranthgate.example/amaranthgate/configurer"
 	"amaranthgate.example/amaranthgate/connector"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/leaser"
 	"amaranthgate.example/amaranthgate/messenger"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/router"
 	"amaranthgate.example/amaranthgate/tracker"
 )
@@ -87,7 +87,7 @@
 		n.claimMessage(now, ev.From, c)
 	}
 	for _, r := range m.Replies {
-		n.applySteps(now, n.claimant.HandleReply(now, r))
+		n.applyClaimantEffects(now, n.claimant.HandleReply(now, r))
 	}
 	n.sendSnapshots(ev.From, m.SnapshotRequests)
 	for _, r := range m.Records {
@@ -319,18 +319,18 @@
 	if now.Sub(n.lastSnapshotRequest) < snapshotRetryInterval {
 		return
 	}
-	var wants []string
+	var names []string
 	for _, name := range []string{configurer.StreamName, leaser.StreamName} {
 		s := n.streams[name]
 		if s.failing && (!s.fold.Ready() || n.configurationBehind(name)) {
-			wants = append(wants, name)
+			names = append(names, name)
 		}
 	}
-	if len(wants) == 0 {
+	if len(names) == 0 {
 		return
 	}
 	n.lastSnapshotRequest = now
-	n.sendNeighbours("", &messenger.Message{SnapshotRequests: wants})
+	n.sendNeighbours("", &messenger.Message{SnapshotRequests: names})
 }
 
 // configurationBehind reports whether the stream is that of the configuration and
@@ -347,8 +347,8 @@
 	return false
 }
 
-func (n *Node) sendSnapshots(to string, wants []string) {
-	for _, name := range wants {
+func (n *Node) sendSnapshots(to string, names []string) {
+	for _, name := range names {
 		if s := n.streams[name]; s != nil && s.fold.Ready() && !isClaims(name) {
 			cp := s.fold.Snapshot(n.opts.LogRetention)
 			n.emit(Send{To: to, Message: &messenger.Message{Snapshot: &messenger.StreamSnapshot{Stream: name, Checkpoint: cp}}})
@@ -372,7 +372,7 @@
 	if s == nil || isClaims(r.Stream) || r.Record.Offset != s.fold.Next() || !s.fold.Ready() {
 		return
 	}
-	applied := n.applyPage(now, s, r.Stream, folder.Page{Next: r.Record.Offset + 1, Records: []folder.RawRecord{r.Record}})
+	applied := n.applyPage(now, s, r.Stream, replayer.Page{Next: r.Record.Offset + 1, Records: []replayer.RawRecord{r.Record}})
 	// The record may be this host's own. The next read of the log starts after it, so
 	// the queue must see it here, or it would wait for it forever.
 	s.queue.StreamRead(time.Time{}, false, applied)
--- a/controller/records_test.go
+++ b/controller/records_test.go
@@ -10,15 +10,15 @@
 	"gotest.tools/v3/assert"
 
 	"amaranthgate.example/amaranthgate/configurer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/messenger"
 	"amaranthgate.example/amaranthgate/publisher"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/tracker"
 )
 
-// TestOwnRecordIsToldByPeer checks that a host's own record that a peer relays counts
+// TestOwnRecordFromPeer checks that a host's own record that a peer relays counts
 // as read back, so that later entries are appended.
-func TestOwnRecordIsToldByPeer(t *testing.T) {
+func TestOwnRecordFromPeer(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := NewNode(Options{
 		Self:      tracker.HostRecord{Host: "a", Incarnation: 1, Peers: "a", Callers: "a"},
@@ -27,15 +27,15 @@
 	})
 	n.Start(now)
 	stream := configurer.StreamName
-	n.Handle(now, LogRead{Stream: stream, Began: now, Page: folder.Page{}})
+	n.Handle(now, LogRead{Stream: stream, Began: now, Page: replayer.Page{}})
 	s := n.streams[stream]
 	assert.Assert(t, s.fold.Ready())
-	s.queue.Add(folder.NewEntry(configurer.KindDelta, configurer.Delta{ID: "c1"}))
+	s.queue.Add(replayer.NewEntry(configurer.KindDelta, configurer.Delta{ID: "c1"}))
 	rec, ok := s.queue.Next(now)
 	assert.Assert(t, ok)
 	n.Handle(now, AppendDone{Stream: stream, Sequence: rec.Sequence})
 	assert.Equal(t, s.queue.Len(), 1)
-	relayed := folder.RawRecord{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
+	relayed := replayer.RawRecord{Offset: s.fold.Next(), Time: now, Body: rec.Encode()}
 	n.Handle(now, PeerMessage{From: "b", Message: &messenger.Message{Records: []messenger.StreamRecord{{Stream: stream, Record: relayed}}}})
 	assert.Equal(t, s.queue.Len(), 0)
 }
--- a/keeper/doc.go
+++ b/indexer/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Amaranthgate Authors. All rights reserved.
 // Use of this source code is governed by the MIT license in the LICENSE file.
 
-// Package keeper indexes the KV caches of engines and manages the stores to which their
+// Package indexer indexes the KV caches of engines and manages the stores to which their
 // contents are offloaded.
 //
 // A prompt is divided into blocks of text. The name of a block is a keyed hash of workspace,
@@ -22,13 +22,13 @@
 // The states are Writing, Sealed, Freeing and Freed, in this order. The issuer reports only
 // sealed segments. A host may refer to reported segments until KeptLease after it sent its
 // query, by its own clock. The issuer orders an upstream to free a segment only after the
-// segment has been Freeing for KeptLease plus the longest read, when no request can refer to it
-// any more. The generation distinguishes a segment from earlier ones of the same name.
+// segment has been Freeing for KeptLease plus the longest read, when no request can still
+// refer to it. The generation distinguishes a segment from earlier ones of the same name.
 //
 // # Usage
 //
-//	chain := keeper.NewChain(keeper.Salt(secret, workspace, model, version), text)
-//	var found keeper.Lookup
+//	chain := indexer.NewChain(indexer.Salt(secret, workspace, model, version), text)
+//	var found indexer.Lookup
 //	index.Lookup(now, chain, &found)
-//	index.Placed(now, upstream, chain)
-package keeper
+//	index.AddPlacement(now, upstream, chain)
+package indexer
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -7,15 +7,15 @@
 	"github.com/pkg/errors"
 
 	"amaranthgate.example/amaranthgate/claimer"
-	"amaranthgate.example/amaranthgate/folder"
 	"amaranthgate.example/amaranthgate/follower"
+	"amaranthgate.example/amaranthgate/indexer"
 	"amaranthgate.example/amaranthgate/internal/codec"
-	"amaranthgate.example/amaranthgate/keeper"
 	"amaranthgate.example/amaranthgate/limiter"
 	"amaranthgate.example/amaranthgate/placer"
 	"amaranthgate.example/amaranthgate/quarantiner"
-	"amaranthgate.example/amaranthgate/renewer"
+	"amaranthgate.example/amaranthgate/replayer"
 	"amaranthgate.example/amaranthgate/tracker"
+	"amaranthgate.example/amaranthgate/updater"
 )
 
 // Message is a message between hosts. Each field that is set is an independent part; a heartbeat
@@ -32,7 +32,7 @@
 	Full             bool                     `cbor:"9,keyasint,omitempty"` // Full reports whether Hosts and Upstreams are all that the sender knows.
 	Demand           *limiter.Demand          `cbor:"10,keyasint,omitempty"`
 	Grants           *limiter.Grants          `cbor:"11,keyasint,omitempty"`
-	Turns            []keeper.Turn            `cbor:"12,keyasint,omitempty"`
+	Turns            []indexer.Turn           `cbor:"12,keyasint,omitempty"`
 	CacheQuery       *CacheQuery              `cbor:"13,keyasint,omitempty"`
 	CacheReply       *CacheReply              `cbor:"14,keyasint,omitempty"`
 	Placed           []Placement              `cbor:"15,keyasint,omitempty"`
@@ -40,7 +40,7 @@
 	Records          []StreamRecord           `cbor:"17,keyasint,omitempty"` // Records were just read from the log.
 	Echo             bool                     `cbor:"18,keyasint,omitempty"` // Echo marks the reply to a heartbeat from no neighbour.
 	Report           *placer.Report           `cbor:"19,keyasint,omitempty"`
-	Renewal          *renewer.Status          `cbor:"21,keyasint,omitempty"`
+	Renewal          *updater.Status          `cbor:"21,keyasint,omitempty"`
 	Offsets          map[follower.Feed]int64  `cbor:"22,keyasint,omitempty"` // Offsets holds the sender's offset in each feed.
 	Relay            Relay                    `cbor:"23,keyasint,omitempty"` // Relay requests forwarding by the receiver.
 	Zone             string                   `cbor:"24,keyasint,omitempty"` // Zone is the availability zone that Report aggregates.
@@ -75,7 +75,7 @@
 // StreamRecord is a record of one stream of the log.
 type StreamRecord struct {
 	Stream string
-	Record folder.RawRecord
+	Record replayer.RawRecord
 }
 
 // InFlight holds a host's requests in flight at all upstreams. Upstreams that are left out have none.
@@ -92,8 +92,8 @@
 
 // Placement is the upstream that last prefilled a prompt, which is identified by its last block.
 type Placement struct {
-	Upstream string      `cbor:"1,keyasint"`
-	End      keeper.Name `cbor:"2,keyasint"`
+	Upstream string       `cbor:"1,keyasint"`
+	End      indexer.Name `cbor:"2,keyasint"`
 }
 
 // CacheQuery requests the contents of upstreams' stores from the issuer of their group.
@@ -123,13 +123,13 @@
 	Upstream string
 	Version  uint64
 	Full     bool
-	Changes  []keeper.Change `cbor:",omitempty"`
+	Changes  []indexer.Change `cbor:",omitempty"`
 }
 
 // StreamSnapshot is the state of one stream folded up to an offset.
 type StreamSnapshot struct {
 	Stream     string
-	Checkpoint folder.Checkpoint
+	Checkpoint replayer.Checkpoint
 }
 
 // Hello identifies a host in the handshake.
