--- a/internal/commander/check.go
+++ b/internal/commander/check.go
@@ -19,9 +19,9 @@
 	return &cli.Command{
 		Name:        "check",
 		Usage:       "check settings and configuration documents",
-		Description: "Prints every fault with its line and exits with 2 if there is any.",
+		Description: "Prints each fault with its line number and exits with 2 if there are any.",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "settings", Usage: "`FILE` with the settings of a host"},
+			&cli.StringSliceFlag{Name: "settings", Usage: "`FILE` with host settings"},
 			&cli.StringSliceFlag{Name: "configuration", Usage: "`FILE` with a configuration document"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
--- a/internal/commander/commander.go
+++ b/internal/commander/commander.go
@@ -47,12 +47,12 @@
 	e := &env{out: out, err: errOut}
 	cmd := &cli.Command{
 		Name:      "amaranthgate",
-		Usage:     "serve prompts that return after long gaps",
+		Usage:     "serve prompts whose callers return after long gaps",
 		Version:   Version,
 		Writer:    out,
 		ErrWriter: errOut,
-		Description: "One binary for all: a host of the system, a demonstration that needs nothing else,\n" +
-			"checks of settings and configuration, a caller, and questions to running hosts.",
+		Description: "A single binary with the host, a self-contained demonstration, checks of settings and\n" +
+			"configuration documents, a client, and operator commands for running hosts.",
 		Commands: []*cli.Command{
 			e.serveCommand(),
 			e.demoCommand(),
--- a/internal/commander/demo.go
+++ b/internal/commander/demo.go
@@ -19,13 +19,13 @@
 func (e *env) demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run a whole small system in one process",
-		Description: "Three hosts as they are deployed, before stand-ins of the users' store, of two engines that\n" +
-			"keep prompts and of a plain service. Shows a return after a gap, an availability zone that is\n" +
-			"emptied and engines that start again, then prints lines to try. Ends with SIGINT or SIGTERM,\n" +
-			"or after --for.",
+		Usage: "run a small complete system in one process",
+		Description: "Runs three hosts as deployed, with emulators of the users' store, of two engines with prompt\n" +
+			"caches and of a plain service. Shows a caller that returns after a gap, the evacuation of an\n" +
+			"availability zone and restarts of engines, then prints commands to try. Exits on SIGINT or\n" +
+			"SIGTERM, or after the time given by --for.",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "for", Usage: "end after this `TIME`"},
+			&cli.DurationFlag{Name: "for", Usage: "exit after `TIME`"},
 			&cli.BoolFlag{Name: "logs", Usage: "print the hosts' logs"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/internal/commander/emulate.go
+++ b/internal/commander/emulate.go
@@ -20,16 +20,16 @@
 func (e *env) emulateCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "emulate",
-		Usage: "run stand-ins for platform and upstreams, for several hosts on one machine",
-		Description: "Prints the URL for Log and HostList in the hosts' settings, and writes a configuration\n" +
-			"document about the upstreams. Hosts are put on the list by PUT /v1/hosts/{name}, faults of\n" +
-			"the log are set by PUT /faults/log.",
+		Usage: "emulate the platform and the upstreams for several hosts on one machine",
+		Description: "Prints the URL for Log and HostList in the hosts' settings. With --configuration, writes a\n" +
+			"configuration document for the upstreams. PUT /v1/hosts/{name} adds a host to the list;\n" +
+			"PUT /faults/log injects faults into the log.",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "latency", Value: 2 * time.Millisecond, Usage: "`TIME` of an append"},
-			&cli.DurationFlag{Name: "retention", Value: 24 * time.Hour, Usage: "`TIME` for which records are kept"},
+			&cli.DurationFlag{Name: "latency", Value: 2 * time.Millisecond, Usage: "`TIME` per append to the log"},
+			&cli.DurationFlag{Name: "retention", Value: 24 * time.Hour, Usage: "retention `TIME` of log records"},
 			&cli.IntFlag{Name: "engines", Value: 2, Usage: "`NUMBER` of engines"},
 			&cli.IntFlag{Name: "services", Value: 1, Usage: "`NUMBER` of plain services"},
-			&cli.StringFlag{Name: "configuration", Usage: "`FILE` to write the configuration document to"},
+			&cli.StringFlag{Name: "configuration", Usage: "output `FILE` for the configuration document"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
--- a/internal/commander/experiment.go
+++ b/internal/commander/experiment.go
@@ -27,14 +27,14 @@
 			e.fleetCommand(),
 			{
 				Name:  "forward",
-				Usage: "what a host adds to a direct call of the same engine",
+				Usage: "measure the overhead of a host over direct calls to the same engine",
 				Flags: []cli.Flag{
-					&cli.FloatFlag{Name: "rate", Value: 1000, Usage: "`REQUESTS` per second"},
+					&cli.FloatFlag{Name: "rate", Value: 1000, Usage: "`REQUESTS` per second, half of them direct"},
 					&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "`TIME` to measure"},
-					&cli.IntFlag{Name: "tokens", Value: 8, Usage: "`TOKENS` of each answer"},
-					&cli.IntFlag{Name: "prompt", Value: 2000, Usage: "`BYTES` of each prompt"},
+					&cli.IntFlag{Name: "tokens", Value: 8, Usage: "`TOKENS` per response"},
+					&cli.IntFlag{Name: "prompt", Value: 2000, Usage: "`BYTES` per prompt"},
 					&cli.DurationFlag{Name: "spacing", Usage: "`TIME` between tokens"},
-					&cli.IntFlag{Name: "streams", Value: 500, Usage: "open `STREAMS` for the memory of each"},
+					&cli.IntFlag{Name: "streams", Value: 500, Usage: "concurrent `STREAMS` for measuring memory per stream"},
 				},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					r, err := experimenter.Forward(ctx, experimenter.ForwardOptions{
@@ -53,19 +53,19 @@
 func (e *env) decisionsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "decisions",
-		Usage: "what the decisions are worth on a seeded workload, in virtual time",
+		Usage: "compare routing policies on a seeded workload, in virtual time",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "deployment", Value: "Association", Usage: "`NAME`: Association or Nilewater"},
+			&cli.StringFlag{Name: "deployment", Value: "Association", Usage: "`NAME` of the workload: Association or Nilewater"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of the workload"},
-			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "`FACTOR` on the simulated time"},
-			&cli.DurationFlag{Name: "lag", Value: experimenter.Healthy.Lag, Usage: "`AGE` of load reports and cache events"},
-			&cli.FloatFlag{Name: "event-loss", Usage: "`SHARE` of cache events lost"},
-			&cli.BoolFlag{Name: "no-burst", Usage: "leave out the bursts of the bad day"},
-			&cli.BoolFlag{Name: "zone-down", Usage: "lose an availability zone in the middle"},
-			&cli.FloatFlag{Name: "links", Value: 1, Usage: "`FACTOR` on the links' rate"},
-			&cli.StringFlag{Name: "plot", Usage: "`FILE` to draw the most urgent class's times to, svg or png"},
-			&cli.IntFlag{Name: "policies", Usage: "compare only the first `NUMBER` of policies"},
-			&cli.IntFlag{Name: "workers", Value: 6, Usage: "`NUMBER` of policies at once"},
+			&cli.FloatFlag{Name: "scale", Value: 1, Usage: "scale `FACTOR` of the simulated time"},
+			&cli.DurationFlag{Name: "lag", Value: experimenter.Healthy.Lag, Usage: "`AGE` of load reports and cache events on arrival"},
+			&cli.FloatFlag{Name: "event-loss", Usage: "`SHARE` of cache events lost, from 0 to 1"},
+			&cli.BoolFlag{Name: "no-burst", Usage: "omit bursts of load"},
+			&cli.BoolFlag{Name: "zone-down", Usage: "fail an availability zone halfway through the measurement"},
+			&cli.FloatFlag{Name: "links", Value: 1, Usage: "scale `FACTOR` of the link bandwidth"},
+			&cli.StringFlag{Name: "plot", Usage: "output `FILE` for a plot of the most urgent class's time to first token, svg or png"},
+			&cli.IntFlag{Name: "policies", Usage: "compare only the first `NUMBER` policies"},
+			&cli.IntFlag{Name: "workers", Value: 6, Usage: "`NUMBER` of policies to simulate in parallel"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			spec, err := experimenter.SpecByName(c.String("deployment"))
@@ -104,13 +104,13 @@
 func (e *env) claimsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "claims",
-		Usage: "what requests that may run only once cost, and the take-over after an owner's death",
+		Usage: "measure the cost of at-most-once requests, and the failover time after an owner stops",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "`NUMBER` of hosts"},
 			&cli.FloatFlag{Name: "rate", Value: 4000, Usage: "`REQUESTS` per second, half of them with a claim"},
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "`TIME` to measure"},
-			&cli.DurationFlag{Name: "latency", Value: 5 * time.Millisecond, Usage: "`TIME` of an append"},
-			&cli.BoolFlag{Name: "faults", Usage: "let the log fail in turns and end an owner's process in the middle"},
+			&cli.DurationFlag{Name: "latency", Value: 5 * time.Millisecond, Usage: "`TIME` per append to the log"},
+			&cli.BoolFlag{Name: "faults", Usage: "inject faults of the log, and stop the owner of a range halfway"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			r, err := experimenter.Claims(ctx, experimenter.ClaimsOptions{
@@ -127,12 +127,12 @@
 func (e *env) changesCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "changes",
-		Usage: "how fast a change of the configuration is in force on all hosts",
+		Usage: "measure the time until a configuration change is in force on all hosts",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "`NUMBER` of hosts"},
 			&cli.IntFlag{Name: "changes", Value: 200, Usage: "`NUMBER` of changes"},
 			&cli.IntFlag{Name: "workspaces", Value: 10, Usage: "`NUMBER` of workspaces in the document"},
-			&cli.DurationFlag{Name: "latency", Value: 5 * time.Millisecond, Usage: "`TIME` of an append"},
+			&cli.DurationFlag{Name: "latency", Value: 5 * time.Millisecond, Usage: "`TIME` per append to the log"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			r, err := experimenter.Changes(ctx, experimenter.ChangesOptions{
@@ -149,11 +149,11 @@
 func (e *env) controlCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "control",
-		Usage: "what control costs hosts that carry no traffic",
+		Usage: "measure the cost of the control plane on idle hosts",
 		Flags: []cli.Flag{
 			&cli.IntSliceFlag{Name: "hosts", Value: []int{8, 16, 32}, Usage: "`NUMBERS` of hosts"},
 			&cli.IntSliceFlag{Name: "engines", Value: []int{22}, Usage: "`NUMBERS` of engines"},
-			&cli.DurationFlag{Name: "for", Value: 8 * time.Second, Usage: "`TIME` to measure each"},
+			&cli.DurationFlag{Name: "for", Value: 8 * time.Second, Usage: "`TIME` of each measurement"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			points, err := experimenter.Control(ctx, experimenter.ControlOptions{Hosts: c.IntSlice("hosts"), Engines: c.IntSlice("engines"), For: c.Duration("for")})
@@ -166,15 +166,15 @@
 func (e *env) endsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "ends",
-		Usage: "what requests cost that end the engines that run them, in virtual time",
+		Usage: "compare policies for requests that crash engines, in virtual time",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "`NUMBER` of hosts"},
 			&cli.IntFlag{Name: "engines", Value: 18, Usage: "`NUMBER` of engines"},
-			&cli.FloatFlag{Name: "rate", Value: 180, Usage: "`REQUESTS` per second that harm nobody"},
+			&cli.FloatFlag{Name: "rate", Value: 180, Usage: "harmless `REQUESTS` per second"},
 			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "simulated `TIME`"},
-			&cli.IntFlag{Name: "bad", Value: 1, Usage: "`NUMBER` of different requests that end their engine"},
-			&cli.IntFlag{Name: "callers", Value: 1, Usage: "`NUMBER` of callers that send each of them again and again"},
-			&cli.FloatFlag{Name: "crashes", Usage: "`ENGINES` that end by themselves, per second"},
+			&cli.IntFlag{Name: "bad", Value: 1, Usage: "`NUMBER` of distinct requests that crash their engine"},
+			&cli.IntFlag{Name: "callers", Value: 1, Usage: "`NUMBER` of concurrent callers that repeat each of these requests"},
+			&cli.FloatFlag{Name: "crashes", Usage: "`ENGINES` per second that crash for other reasons"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of the workload"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -190,16 +190,16 @@
 func (e *env) fleetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "fleet",
-		Usage: "what the control plane of many hosts costs, and how soon they agree, in virtual time",
+		Usage: "measure the cost and convergence time of the control plane of many hosts, in virtual time",
 		Flags: []cli.Flag{
 			&cli.IntSliceFlag{Name: "hosts", Value: []int{100, 300}, Usage: "`NUMBERS` of hosts"},
-			&cli.IntFlag{Name: "upstreams", Value: 10, Usage: "`NUMBER` of upstreams for each host"},
+			&cli.IntFlag{Name: "upstreams", Value: 10, Usage: "`NUMBER` of upstreams per host"},
 			&cli.IntFlag{Name: "zones", Value: 5, Usage: "`NUMBER` of availability zones"},
-			&cli.IntFlag{Name: "large", Value: 3, Usage: "`NUMBER` of larger hosts in each of them"},
-			&cli.FloatFlag{Name: "link", Value: 20, Usage: "`MBPS` of the other hosts' links"},
-			&cli.IntFlag{Name: "series", Value: 10, Usage: "`NUMBER` of hosts that are started again in a series"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of the model"},
-			&cli.StringFlag{Name: "plot", Usage: "`FILE` to draw messages to, svg or png"},
+			&cli.IntFlag{Name: "large", Value: 3, Usage: "`NUMBER` of large hosts per availability zone"},
+			&cli.FloatFlag{Name: "link", Value: 20, Usage: "bandwidth of the other hosts' links, in `MBPS`"},
+			&cli.IntFlag{Name: "series", Value: 10, Usage: "`NUMBER` of hosts to restart one after the other"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "`SEED` of the simulation"},
+			&cli.StringFlag{Name: "plot", Usage: "output `FILE` for a plot of messages per host, svg or png"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			var points []experimenter.FleetPoint
@@ -231,7 +231,7 @@
 func (e *env) leavingCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "leaving",
-		Usage: "how fast all hosts stop sending work to an engine that says it is leaving",
+		Usage: "measure the time until no host routes requests to an engine that reports it is leaving",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "hosts", Value: 8, Usage: "`NUMBER` of hosts"},
 			&cli.IntFlag{Name: "times", Value: 20, Usage: "`NUMBER` of engines that leave"},
--- a/internal/commander/explain.go
+++ b/internal/commander/explain.go
@@ -18,11 +18,11 @@
 func (e *env) explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell from logs what became of requests, and why",
+		Usage:     "explain how requests ended, from log files",
 		ArgsUsage: "LOG...",
-		Description: "Reads the logs of one or more hosts and prints the end of the request, the upstreams\n" +
-			"that were tried and why they were chosen, and what the host learned just before.\n" +
-			"Without --request it counts all requests that failed or were late by their causes.",
+		Description: "Reads the logs of one or more hosts and prints how the request ended, which upstreams\n" +
+			"were tried and why they were chosen, and what the host logged shortly before.\n" +
+			"Without --request, counts all failed and late requests by cause.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "request", Usage: "`ID` of the request"},
 		},
@@ -48,13 +48,13 @@
 func (e *env) accountCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "account",
-		Usage:     "tell from logs when which requests were late, failed or refused, and why",
+		Usage:     "count late, failed and refused requests by time and cause, from log files",
 		ArgsUsage: "LOG...",
-		Description: "Reads the logs of one or more hosts. For each route and span of time it counts how\n" +
-			"requests ended and the causes of what was late, failed or refused; at the end it sums\n" +
-			"up what was believed of kept context. Spans in which all went well are left out.",
+		Description: "Reads the logs of one or more hosts. For each route and time span, counts requests by\n" +
+			"outcome, and late, failed and refused requests by cause. Ends with a summary of the\n" +
+			"estimates for cached context. Omits spans without late, failed or refused requests.",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "span", Value: 2 * time.Second, Usage: "length of a span of `TIME`"},
+			&cli.DurationFlag{Name: "span", Value: 2 * time.Second, Usage: "`TIME` per span"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Duration("span") <= 0 {
--- a/internal/commander/operate.go
+++ b/internal/commander/operate.go
@@ -23,9 +23,9 @@
 // operatorFlags returns the flags of commands that call a host's operator API.
 func operatorFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "operators", Required: true, Usage: "`ADDRESS` of a host for operators, IP:port"},
-		&cli.StringFlag{Name: "token", Required: true, Sources: cli.EnvVars("AMARANTHGATE_OPERATOR_TOKEN"), Usage: "the operator's `TOKEN`"},
-		&cli.StringFlag{Name: "author", Value: "operator", Usage: "`NAME` under which changes are recorded"},
+		&cli.StringFlag{Name: "operators", Required: true, Usage: "operator `ADDRESS` of a host, IP:port"},
+		&cli.StringFlag{Name: "token", Required: true, Sources: cli.EnvVars("AMARANTHGATE_OPERATOR_TOKEN"), Usage: "operator `TOKEN`"},
+		&cli.StringFlag{Name: "author", Value: "operator", Usage: "`NAME` to record as the author of changes"},
 	}
 }
 
@@ -69,10 +69,10 @@
 func (e *env) liftCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "lift",
-		Usage:     "let a request be sent to upstreams again under which upstreams had ended",
+		Usage:     "lift the bar on a request that upstreams crashed on",
 		ArgsUsage: "IDENTITY",
-		Description: "IDENTITY is that of the line RequestBarred and of the state dump. One host is enough: it tells the others.\n" +
-			"If upstreams end under the request again, it is barred again.",
+		Description: "IDENTITY is in the log line RequestBarred and in the state dump. The host notifies all other hosts.\n" +
+			"If upstreams crash on the request again, it is barred again.",
 		Flags: operatorFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			path := "/quarantine/lift?" + url.Values{"identity": {c.Args().First()}}.Encode()
@@ -92,11 +92,11 @@
 	return &cli.Command{
 		Name:  "publish",
 		Usage: "publish a configuration document",
-		Description: "Publishes on the revision in force unless --base names the one the document was made from.\n" +
-			"Exits with 1 if another operator was faster or the outcome is not known yet.",
+		Description: "The change is based on the revision in force unless --base gives another.\n" +
+			"Exits with 1 if the base is no longer in force or the outcome is not known yet.",
 		Flags: append(operatorFlags(),
 			&cli.StringFlag{Name: "configuration", Required: true, Usage: "`FILE` with the document"},
-			&cli.StringFlag{Name: "id", Usage: "`NAME` of the change; the same name is never applied twice"},
+			&cli.StringFlag{Name: "id", Usage: "unique `NAME` of the change; applied at most once"},
 			&cli.Int64Flag{Name: "base", Value: -1, Usage: "`REVISION` that the document is based on"},
 		),
 		Action: e.publish,
--- a/internal/commander/send.go
+++ b/internal/commander/send.go
@@ -25,22 +25,22 @@
 	return &cli.Command{
 		Name:  "send",
 		Usage: "send a prompt or a service call as a caller",
-		Description: "Asks a host for the addresses to use, goes to the best one and on to the next if it does\n" +
-			"not answer. Prints the answer as it comes. Without --prompt or --data the text is read from\n" +
-			"standard input.",
+		Description: "Gets the addresses of hosts from a seed and tries the best one first, then the others if it\n" +
+			"does not respond. Prints the response as it arrives. Without --prompt and --data, reads the\n" +
+			"text from standard input.",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "seed", Required: true, Usage: "`ADDRESS` of any host for callers"},
-			&cli.StringFlag{Name: "token", Required: true, Sources: cli.EnvVars("AMARANTHGATE_TOKEN"), Usage: "the workspace's `TOKEN`"},
-			&cli.StringFlag{Name: "zone", Usage: "the caller's availability `ZONE`"},
-			&cli.StringFlag{Name: "model", Usage: "`MODEL` to ask"},
+			&cli.StringSliceFlag{Name: "seed", Required: true, Usage: "caller `ADDRESS` of any host"},
+			&cli.StringFlag{Name: "token", Required: true, Sources: cli.EnvVars("AMARANTHGATE_TOKEN"), Usage: "workspace `TOKEN`"},
+			&cli.StringFlag{Name: "zone", Usage: "availability `ZONE` of the caller"},
+			&cli.StringFlag{Name: "model", Usage: "`MODEL` to call"},
 			&cli.StringFlag{Name: "prompt", Usage: "`TEXT` of the prompt"},
 			&cli.IntFlag{Name: "max-tokens", Value: 32, Usage: "`NUMBER` of tokens to generate"},
 			&cli.StringFlag{Name: "service", Usage: "plain service and `PATH` to call, such as Booking/slots"},
-			&cli.StringFlag{Name: "data", Usage: "`BODY` of the call"},
+			&cli.StringFlag{Name: "data", Usage: "`BODY` of the service call"},
 			&cli.StringFlag{Name: "key", Usage: "idempotency `KEY`"},
 			&cli.StringFlag{Name: "class", Usage: "priority `CLASS`"},
-			&cli.DurationFlag{Name: "deadline", Usage: "`TIME` to wait at most"},
-			&cli.BoolFlag{Name: "once", Usage: "the request may run only once"},
+			&cli.DurationFlag{Name: "deadline", Usage: "maximum `TIME` to wait"},
+			&cli.BoolFlag{Name: "once", Usage: "run the request at most once"},
 		},
 		Action: e.send,
 	}
--- a/internal/commander/serve.go
+++ b/internal/commander/serve.go
@@ -21,11 +21,11 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run one host",
-		Description: "Runs until SIGTERM or SIGINT, then drains: the host leaves the answers to callers,\n" +
-			"serves those that still come and ends when idle. A second signal ends it at once and\n" +
-			"says how many requests were cut (exit code 3).",
+		Description: "Runs until SIGTERM or SIGINT, then drains: the host is no longer advertised to callers,\n" +
+			"serves requests that still arrive and exits when idle. A second signal aborts open\n" +
+			"requests and reports their number (exit code 3).",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "settings", Required: true, Usage: "`FILE` with the settings, JSON with comments"},
+			&cli.StringFlag{Name: "settings", Required: true, Usage: "settings `FILE`, JSON with comments"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s, err := e.readSettings(c.String("settings"))
