--- a/conductor/arrivals_test.go
+++ b/conductor/arrivals_test.go
@@ -31,13 +31,13 @@
 	start := time.Unix(5000, 0)
 	next := int64(0)
 	receive := func(at time.Duration, full bool, values ...string) {
-		news := follower.FeedPage{Feed: follower.FeedOperator, Full: full, From: next}
+		page := follower.FeedPage{Feed: follower.FeedOperator, Full: full, From: next}
 		for _, v := range values {
-			news.Records = append(news.Records, follower.Record{Key: "weights", Value: []byte(v), Offset: next})
+			page.Records = append(page.Records, follower.Record{Key: "weights", Value: []byte(v), Offset: next})
 			next++
 		}
-		news.Next = next
-		n.Handle(start.Add(at), PeerMessage{From: "b", Message: &messenger.Message{FeedPages: []follower.FeedPage{news}}})
+		page.Next = next
+		n.Handle(start.Add(at), PeerMessage{From: "b", Message: &messenger.Message{FeedPages: []follower.FeedPage{page}}})
 	}
 	receive(0, true, "1")
 	lastOnTime := time.Duration(0)
--- a/conductor/cluster_test.go
+++ b/conductor/cluster_test.go
@@ -253,17 +253,17 @@
 }
 
 func (c *cluster) listing(f follower.Feed) follower.FeedPage {
-	news := follower.FeedPage{Feed: f, Full: true, Next: int64(len(c.logs[f]))}
+	page := follower.FeedPage{Feed: f, Full: true, Next: int64(len(c.logs[f]))}
 	newest := make(map[string]follower.Record)
 	for _, r := range c.logs[f] {
 		newest[r.Key] = r
 	}
 	for _, r := range newest {
 		if len(r.Value) > 0 {
-			news.Records = append(news.Records, r)
+			page.Records = append(page.Records, r)
 		}
 	}
-	return news
+	return page
 }
 
 func (c *cluster) execute(s *simNode, actions []Action) {
--- a/conductor/events.go
+++ b/conductor/events.go
@@ -84,7 +84,7 @@
 // lacks.
 type StoreGap struct{ From string }
 
-// VersionAgesRestored holds the weight versions that earlier hosts saved.
+// VersionAgesRestored holds the ages of weight versions that earlier hosts saved.
 type VersionAgesRestored struct{ VersionAges []follower.VersionAge }
 
 // QuarantineChanged reports that the quarantine has changes for the other hosts.
--- a/conductor/feed.go
+++ b/conductor/feed.go
@@ -85,10 +85,10 @@
 	forwarded := n.applyPage(now, ev.Page, asOf)
 	f.retryAt = now.Add(n.readInterval())
 	if !ev.Page.Full {
-		news := ev.Page
-		news.Age = now.Sub(asOf)
-		news.Records = forwarded
-		n.broadcast(&messenger.Message{FeedPages: []follower.FeedPage{news}})
+		page := ev.Page
+		page.Age = now.Sub(asOf)
+		page.Records = forwarded
+		n.broadcast(&messenger.Message{FeedPages: []follower.FeedPage{page}})
 	}
 }
 
@@ -117,32 +117,32 @@
 }
 
 // applyPage applies a page and returns the records to forward to other hosts.
-func (n *Node) applyPage(now time.Time, news follower.FeedPage, asOf time.Time) (forwarded []follower.Record) {
-	f := n.feeds[news.Feed]
-	if !news.Full && (!f.loaded || news.From > f.next) {
+func (n *Node) applyPage(now time.Time, page follower.FeedPage, asOf time.Time) (forwarded []follower.Record) {
+	f := n.feeds[page.Feed]
+	if !page.Full && (!f.loaded || page.From > f.next) {
 		return nil // records between the known ones and this page are missing
 	}
-	for _, r := range news.Records {
-		if !news.Full && r.Offset < f.next {
-			if f.changedState(news.Feed, r) {
+	for _, r := range page.Records {
+		if !page.Full && r.Offset < f.next {
+			if f.changedState(page.Feed, r) {
 				forwarded = append(forwarded, r)
 			}
 			continue // already applied, and perhaps later records too
 		}
-		if n.applyRecord(now, news.Feed, f, r) {
+		if n.applyRecord(now, page.Feed, f, r) {
 			forwarded = append(forwarded, r)
 		}
 	}
-	if news.Full {
+	if page.Full {
 		f.lastListing = now
-		n.applyListing(now, news, f)
+		n.applyListing(now, page, f)
 	}
-	if news.Next > f.next {
-		f.next, f.behindSince = news.Next, time.Time{}
+	if page.Next > f.next {
+		f.next, f.behindSince = page.Next, time.Time{}
 	}
 	if asOf.After(f.currentAt) {
 		f.currentAt = asOf
-		if news.Feed == follower.FeedOperator {
+		if page.Feed == follower.FeedOperator {
 			n.state.SetCurrent(asOf)
 			n.emit(FeedCurrent{At: asOf})
 		}
@@ -160,23 +160,23 @@
 	return ok && old.changed >= r.Offset
 }
 
-func (n *Node) applyListing(now time.Time, news follower.FeedPage, f *feed) {
-	f.loaded, f.droppedFrom = true, news.Next
-	listed := make(map[string]bool, len(news.Records))
-	for _, r := range news.Records {
+func (n *Node) applyListing(now time.Time, page follower.FeedPage, f *feed) {
+	f.loaded, f.droppedFrom = true, page.Next
+	listed := make(map[string]bool, len(page.Records))
+	for _, r := range page.Records {
 		listed[r.Key] = true
 	}
-	if news.Feed != follower.FeedUpstreams {
-		n.endEvacuations(now, news, f, listed)
+	if page.Feed != follower.FeedUpstreams {
+		n.endEvacuations(now, page, f, listed)
 		return // other operator settings stay in force until replaced
 	}
 	for key, r := range f.newest {
-		if !listed[key] && r.Offset < news.Next {
-			f.drop(key, news.Next-1)
+		if !listed[key] && r.Offset < page.Next {
+			f.drop(key, page.Next-1)
 		}
 	}
-	n.emit(LogEvent{Kind: LogListingApplied, Feed: news.Feed, Offset: news.Next})
-	n.viewDirty = n.state.Replace(now, listed, news.Next) || n.viewDirty
+	n.emit(LogEvent{Kind: LogListingApplied, Feed: page.Feed, Offset: page.Next})
+	n.viewDirty = n.state.Replace(now, listed, page.Next) || n.viewDirty
 }
 
 // skipUnreadable skips a record and reports whether to forward it. An upstream whose newest entry
@@ -214,14 +214,14 @@
 
 // endEvacuations ends the evacuations that are missing from a listing of the operators' feed: their
 // records were removed while this host did not read the feed.
-func (n *Node) endEvacuations(now time.Time, news follower.FeedPage, f *feed, listed map[string]bool) {
+func (n *Node) endEvacuations(now time.Time, page follower.FeedPage, f *feed, listed map[string]bool) {
 	for key, record := range f.newest {
-		dropped := follower.Record{Key: key, Offset: news.Next - 1}
+		dropped := follower.Record{Key: key, Offset: page.Next - 1}
 		if listed[key] || record.Offset >= dropped.Offset {
 			continue
 		}
-		if change, err := n.opts.Decoder.Decode(news.Feed, dropped); err == nil && change.Evacuation != nil {
-			n.applyRecord(now, news.Feed, f, dropped)
+		if change, err := n.opts.Decoder.Decode(page.Feed, dropped); err == nil && change.Evacuation != nil {
+			n.applyRecord(now, page.Feed, f, dropped)
 		}
 	}
 }
--- a/conductor/handover.go
+++ b/conductor/handover.go
@@ -151,9 +151,9 @@
 			continue
 		}
 		if from >= f.droppedFrom {
-			news := follower.FeedPage{Feed: name, FromMemory: true, From: from, Next: f.next,
+			page := follower.FeedPage{Feed: name, FromMemory: true, From: from, Next: f.next,
 				Age: now.Sub(f.currentAt), Records: f.changesSince(from)}
-			n.send(to, &messenger.Message{FeedPages: []follower.FeedPage{news}})
+			n.send(to, &messenger.Message{FeedPages: []follower.FeedPage{page}})
 			continue
 		}
 		n.send(to, f.listing(now, name))
@@ -174,11 +174,11 @@
 	if f.cached.message != nil && now.Sub(f.cached.made) < listingTTL {
 		return f.cached.message
 	}
-	news := follower.FeedPage{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.currentAt) + listingTTL}
+	page := follower.FeedPage{Feed: name, Full: true, Next: f.next, Age: now.Sub(f.currentAt) + listingTTL}
 	for _, r := range f.newest {
-		news.Records = append(news.Records, r.Record)
+		page.Records = append(page.Records, r.Record)
 	}
-	f.cached = cachedListing{message: &messenger.Message{FeedPages: []follower.FeedPage{news}}, made: now}
+	f.cached = cachedListing{message: &messenger.Message{FeedPages: []follower.FeedPage{page}}, made: now}
 	return f.cached.message
 }
 
@@ -229,15 +229,15 @@
 
 // receivePages applies pages that another host sent.
 func (n *Node) receivePages(now time.Time, pages []follower.FeedPage) {
-	for _, news := range pages {
-		f, ok := n.feeds[news.Feed]
-		if !ok || news.Full && f.loaded && news.Next <= f.next {
+	for _, page := range pages {
+		f, ok := n.feeds[page.Feed]
+		if !ok || page.Full && f.loaded && page.Next <= f.next {
 			continue
 		}
-		if !news.Full && !news.FromMemory {
+		if !page.Full && !page.FromMemory {
 			f.receivedPage = true
 			n.state.StoreAnswered(now) // the store has answered another host, so it is reachable
 		}
-		n.applyPage(now, news, now.Add(-news.Age))
+		n.applyPage(now, page, now.Add(-page.Age))
 	}
 }
--- a/conductor/handover_test.go
+++ b/conductor/handover_test.go
@@ -18,8 +18,8 @@
 func (c *cluster) countListings(f follower.Feed) *int {
 	n := new(int)
 	c.onMessage = func(ev PeerMessage) {
-		for _, news := range ev.Message.FeedPages {
-			if news.Feed == f && news.Full {
+		for _, page := range ev.Message.FeedPages {
+			if page.Feed == f && page.Full {
 				*n++
 			}
 		}
@@ -108,8 +108,8 @@
 			forwarded := 0
 			for _, a := range n.Handle(cl.now, FeedRead{Page: page, RequestedAt: cl.now}) {
 				if s, ok := a.(SendAll); ok {
-					for _, news := range s.Message.FeedPages {
-						forwarded += len(news.Records)
+					for _, page := range s.Message.FeedPages {
+						forwarded += len(page.Records)
 					}
 				}
 			}
--- a/conductor/hosts.go
+++ b/conductor/hosts.go
@@ -27,9 +27,9 @@
 		return
 	}
 	n.lastHeartbeat = now
-	if news := n.hosts.Tick(now); len(news) > 0 {
-		n.recordHostChanges(news)
-		n.sendHostsToNeighbours("", news)
+	if changed := n.hosts.Tick(now); len(changed) > 0 {
+		n.recordHostChanges(changed)
+		n.sendHostsToNeighbours("", changed)
 	}
 	fast, slow := n.neighboursByPace()
 	n.opts.Quarantine.Expire(now)
@@ -66,8 +66,8 @@
 }
 
 // sendHostsToNeighbours sends changed host records to all neighbours but one.
-func (n *Node) sendHostsToNeighbours(except string, news []tracker.HostRecord) {
-	n.sendToNeighbours(except, &messenger.Message{Hosts: news})
+func (n *Node) sendHostsToNeighbours(except string, records []tracker.HostRecord) {
+	n.sendToNeighbours(except, &messenger.Message{Hosts: records})
 }
 
 // sendToNeighbours sends a message to all neighbours but one.
@@ -194,19 +194,19 @@
 }
 
 func (n *Node) mergeHosts(now time.Time, from string, records []tracker.HostRecord) {
-	var news []tracker.HostRecord
+	var changed []tracker.HostRecord
 	for _, r := range records {
-		news = append(news, n.hosts.Merge(now, r)...)
+		changed = append(changed, n.hosts.Merge(now, r)...)
 	}
-	if len(news) > 0 {
-		n.recordHostChanges(news)
-		n.sendHostsToNeighbours(from, news)
+	if len(changed) > 0 {
+		n.recordHostChanges(changed)
+		n.sendHostsToNeighbours(from, changed)
 	}
 }
 
-func (n *Node) recordHostChanges(news []tracker.HostRecord) {
+func (n *Node) recordHostChanges(records []tracker.HostRecord) {
 	n.hostsDirty = true
-	for _, r := range news {
+	for _, r := range records {
 		n.emit(LogEvent{Kind: LogHostChanged, Host: r.Host, Key: string(r.State)})
 	}
 }
--- a/conductor/namings.go
+++ b/conductor/namings.go
@@ -32,16 +32,16 @@
 func (n *savedVersionAges) due(ages []follower.VersionAge) map[string][]follower.VersionAge {
 	byModel := make(map[string][]follower.VersionAge)
 	newest := make(map[string]follower.VersionAge)
-	for _, naming := range ages {
-		byModel[naming.Model] = append(byModel[naming.Model], naming)
-		if naming.Version > newest[naming.Model].Version {
-			newest[naming.Model] = naming
+	for _, versionAge := range ages {
+		byModel[versionAge.Model] = append(byModel[versionAge.Model], versionAge)
+		if versionAge.Version > newest[versionAge.Model].Version {
+			newest[versionAge.Model] = versionAge
 		}
 	}
-	for model, naming := range newest {
+	for model, versionAge := range newest {
 		last := n.saved[model]
-		times := agesReached(naming.Age)
-		if times == 0 || last.version == naming.Version && last.times >= times {
+		times := agesReached(versionAge.Age)
+		if times == 0 || last.version == versionAge.Version && last.times >= times {
 			delete(byModel, model)
 		}
 	}
@@ -62,9 +62,9 @@
 		n.saved = make(map[string]savedAge)
 	}
 	newest := follower.VersionAge{}
-	for _, naming := range ages {
-		if naming.Version > newest.Version {
-			newest = naming
+	for _, versionAge := range ages {
+		if versionAge.Version > newest.Version {
+			newest = versionAge
 		}
 	}
 	n.saved[model] = savedAge{version: newest.Version, times: agesReached(newest.Age)}
--- a/conductor/savedstate.go
+++ b/conductor/savedstate.go
@@ -16,9 +16,9 @@
 // savedState is the state kept in the platform's store for hosts that start after the whole fleet
 // was down. Only the host that is first in rank writes it. The zero value is ready to use.
 type savedState struct {
-	restored bool
-	namings  savedVersionAges
-	bars     savedBars
+	restored    bool
+	versionAges savedVersionAges
+	bars        savedBars
 }
 
 // update restores the saved state once, and saves what is due.
@@ -26,7 +26,7 @@
 	if !n.restored {
 		n.restored = n.restore(h)
 	}
-	n.namings.update(h)
+	n.versionAges.update(h)
 	n.bars.update(h)
 }
 
--- a/conductor/standby_test.go
+++ b/conductor/standby_test.go
@@ -78,9 +78,9 @@
 	c.write(follower.FeedOperator, "config", "version 1")
 	forwarded := 0
 	c.onMessage = func(ev PeerMessage) {
-		for _, news := range ev.Message.FeedPages {
-			if news.Feed == follower.FeedUpstreams && !news.Full {
-				forwarded += len(news.Records)
+		for _, page := range ev.Message.FeedPages {
+			if page.Feed == follower.FeedUpstreams && !page.Full {
+				forwarded += len(page.Records)
 			}
 		}
 	}
@@ -136,8 +136,8 @@
 				}
 				across := 0
 				c.onMessage = func(ev PeerMessage) {
-					for _, news := range ev.Message.FeedPages {
-						if news.Full && news.Feed == follower.FeedUpstreams && c.recipient.zone != c.byName[ev.From].zone {
+					for _, page := range ev.Message.FeedPages {
+						if page.Full && page.Feed == follower.FeedUpstreams && c.recipient.zone != c.byName[ev.From].zone {
 							across++
 						}
 					}
--- a/conductor/stores.go
+++ b/conductor/stores.go
@@ -18,9 +18,9 @@
 	// Changes returns a store's changes since an earlier answer; lost reports that some of them are no
 	// longer available.
 	Changes(ctx context.Context, address string, since int64, wait time.Duration) (
-		news placer.StoreChanges, next int64, lost bool, err error)
+		changes placer.StoreChanges, next int64, lost bool, err error)
 	// Contents returns all contents of a store.
-	Contents(ctx context.Context, address string) (news placer.StoreChanges, next int64, err error)
+	Contents(ctx context.Context, address string) (changes placer.StoreChanges, next int64, err error)
 	// Free evicts parts from a store.
 	Free(ctx context.Context, f placer.UnusedParts) error
 }
@@ -66,7 +66,7 @@
 	var since, epoch int64
 	up, delay := false, h.opts.Timing.RetryDelay
 	for ctx.Err() == nil {
-		news, next, err := h.readStore(ctx, address, since, epoch)
+		changes, next, err := h.readStore(ctx, address, since, epoch)
 		if ctx.Err() != nil {
 			return
 		}
@@ -82,10 +82,10 @@
 			continue
 		}
 		delay = h.opts.Timing.RetryDelay
-		since, epoch = next, news.Epoch
-		h.placer.ApplyStoreChanges(h.opts.Timer.Now(), address, news)
-		h.post(StoreReported{Report: placer.StoreReport{Address: address, Changes: news}})
-		if len(news.Changes) < storePage {
+		since, epoch = next, changes.Epoch
+		h.placer.ApplyStoreChanges(h.opts.Timer.Now(), address, changes)
+		h.post(StoreReported{Report: placer.StoreReport{Address: address, Changes: changes}})
+		if len(changes.Changes) < storePage {
 			pause(ctx, storeBatchDelay)
 		}
 	}
@@ -95,12 +95,12 @@
 func (h *Host) readStore(ctx context.Context, address string, since, epoch int64) (placer.StoreChanges, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeWait+storeTimeout)
 	defer cancel()
-	news, next, lost, err := h.opts.CacheStores.Changes(ctx, address, since, storeWait)
+	changes, next, lost, err := h.opts.CacheStores.Changes(ctx, address, since, storeWait)
 	if err != nil {
-		return news, next, err
+		return changes, next, err
 	}
-	if !lost && (news.Epoch == epoch || since == 0) {
-		return news, next, nil
+	if !lost && (changes.Epoch == epoch || since == 0) {
+		return changes, next, nil
 	}
 	return h.opts.CacheStores.Contents(ctx, address)
 }
--- a/conductor/timing.go
+++ b/conductor/timing.go
@@ -32,7 +32,7 @@
 	ListingInterval     time.Duration // ListingInterval is the same for a whole listing in a large fleet.
 
 	// LeaseTerm is how long the updater's lease lasts without renewal. After its holder dies, the
-	// next order follows a term, a turn and a margin later.
+	// next order follows LeaseTerm, the handover gap and LeaseMargin later.
 	LeaseTerm   time.Duration
 	LeaseMargin time.Duration // LeaseMargin is subtracted from the term by the holder and added by others.
 }
--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -25,7 +25,7 @@
 	n.streams[configurer.StreamName].queue.Add(replayer.NewEntry(configurer.KindDelta, d))
 }
 
-// configurationApplied handles a record that was folded into the configuration.
+// configurationApplied handles a record that was applied to the configuration.
 func (n *Node) configurationApplied(now time.Time, rec replayer.Applied) {
 	for _, e := range rec.Entries {
 		var d configurer.Delta
@@ -65,5 +65,5 @@
 	n.setLimits(now)
 }
 
-// Configuration returns the folded configuration.
+// Configuration returns the state of the configuration: the document in force and recent results.
 func (n *Node) Configuration() *configurer.State { return n.config }
--- a/dispatcher/doc.go
+++ b/dispatcher/doc.go
@@ -13,7 +13,7 @@
 //
 //	handle := dispatcher.Chain(forward, identify, limit)
 //	...
-//	tries := dispatcher.Run(ctx, dispatcher.Policy{Repeatable: true, Runs: 2, Attempts: 4}, way)
+//	tries := dispatcher.Run(ctx, dispatcher.Policy{Repeatable: true, Runs: 2, Attempts: 4}, attempter)
 //	if !tries.Done() {
 //		refuse(tries.Ending(ctx), tries.Ran())
 //	}
--- a/exchanger/quarantine.go
+++ b/exchanger/quarantine.go
@@ -85,7 +85,7 @@
 }
 
 // allowed reports whether the request may be sent to an upstream. For a suspect request
-// it asks for placement apart from others, so that a request which terminates its
+// it asks for isolation from other suspects, so that a request which terminates its
 // upstreams does not take down one after another as callers retry it.
 func (d *delivery) allowed(ask *placer.PlacementRequest) bool {
 	id := d.outcome.Identity
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -126,7 +126,7 @@
 	Changes  []indexer.Change `cbor:",omitempty"`
 }
 
-// StreamSnapshot is the state of one stream folded up to an offset.
+// StreamSnapshot is the state of one stream replayed up to an offset.
 type StreamSnapshot struct {
 	Stream     string
 	Checkpoint replayer.Checkpoint
--- a/placer/cacheindex.go
+++ b/placer/cacheindex.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// removeAll removes an engine that is gone, and detaches its cache so that requests that still run
-// there do not change the index.
+// removeAll removes an engine that no longer exists, and detaches its cache so that requests that
+// still run there do not change the index.
 func (k cacheIndex) removeAll(t *target) {
 	for key := range t.cache.parts {
 		k.remove(key, t)
--- a/placer/choice.go
+++ b/placer/choice.go
@@ -62,7 +62,7 @@
 	BacklogTime    time.Duration // BacklogTime is the estimated prefill time of the upstream's backlog.
 	PrefillTime    time.Duration // PrefillTime is the estimated prefill time of the missing tokens.
 	FetchTime      time.Duration // FetchTime is the estimated time of the transfers.
-	Replaced       bool          // Replaced reports that a newer weight version than the upstream's was named.
+	Replaced       bool          // Replaced reports that a newer weight version than the upstream's is in force.
 	StoredParts    int           // StoredParts is the number of leading parts that stores hold.
 	SavedParts     int           // SavedParts is the number of parts to save to stores.
 	// SharedKey is the key of the last part that other requests may share; 0 if there is none.
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -107,7 +107,7 @@
 }
 
 // Update applies a view. State of upstreams that remain is kept. Requests in flight at an instance
-// that has been replaced since are given up.
+// that has been replaced since are abandoned.
 func (p *Placer) Update(view *follower.View) {
 	for _, callback := range p.update(view) {
 		callback()
@@ -115,7 +115,7 @@
 }
 
 // update applies the changes since the last view, so that the cost of a change does not grow with
-// the number of upstreams. It returns the callbacks of requests that are given up.
+// the number of upstreams. It returns the callbacks of abandoned requests.
 func (p *Placer) update(view *follower.View) (callbacks []func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/placer/replaced.go
+++ b/placer/replaced.go
@@ -49,7 +49,7 @@
 // storesUsable reports whether prompts on a weight version may fetch from stores now: until
 // storeLifetime after the version was last known to be in force. For the newest version that is
 // when the operators' feed was last known to be current; for a replaced one, before the next
-// version was named.
+// version was put in force.
 func (p *Placer) storesUsable(now time.Time, model string, weights uint64) bool {
 	if p.clock.millis == 0 {
 		return false
@@ -69,9 +69,9 @@
 // storeLifetime returns how long stores serve replaced weights.
 func (p *Placer) storeLifetime() time.Duration { return min(p.replacedLifetime(), maxStoreLifetime) }
 
-// FreeAfter returns how long after a weight version was named what stores hold for the one before
-// may be freed: no fetch begins later than storeLifetime after the old version was known to be in
-// force, and each fetch ends within maxFetchTime.
+// FreeAfter returns the time after a new weight version was put in force from which stores may free
+// the parts of the previous version: no fetch begins later than storeLifetime after the old version
+// was known to be in force, and each fetch ends within maxFetchTime.
 func (p *Placer) FreeAfter() time.Duration {
 	return p.storeLifetime() + maxFetchTime + freeMargin
 }
--- a/quarantiner/doc.go
+++ b/quarantiner/doc.go
@@ -16,8 +16,8 @@
 // An upstream may also end shortly after a request was abandoned, for example because
 // its caller left. The end counts for that request within a short time.
 //
-// Hosts exchange Words, each the whole record of one identity. Merging them is a union
-// in which cleared ends stay cleared, so it is commutative and idempotent.
+// Hosts exchange Entries, each the whole record of one identity. Merging is a union in
+// which cleared ends stay cleared, so it is commutative and idempotent.
 //
 // # Usage
 //
@@ -25,5 +25,5 @@
 //	id := quarantiner.Identify(quarantiner.Parts{Workspace: "w", Host: h, Target: t, Body: b})
 //	if v := l.Standing(now, id); v.Standing == quarantiner.Barred { ... }
 //	l.Ended(now, id, upstream.InstanceID(), sent)
-//	for _, w := range l.TakeChanges(now) { ... } // for the other hosts, which call Merge
+//	for _, e := range l.TakeChanges(now) { ... } // for the other hosts, which call Merge
 package quarantiner
--- a/updater/doc.go
+++ b/updater/doc.go
@@ -7,8 +7,8 @@
 // store that is written by compare-and-set. The holder counts its term from before it
 // sent the write, less a margin; other hosts count from when they first read the
 // record, so two hosts never hold the lease at once. Some engines do not check fencing
-// tokens, so orders of two hosts to one engine must be at least one turn apart: a new
-// holder waits for the term and one turn, unless the previous holder reported that it
+// tokens, so orders of two hosts to one engine must be at least HandoverGap apart: a new
+// holder waits for the term and HandoverGap, unless the previous holder reported that it
 // has stopped and when it ordered which engines.
 //
 // The number of engines that load concurrently is bounded, since the weight store slows
--- a/updater/lease.go
+++ b/updater/lease.go
@@ -108,10 +108,10 @@
 	clear(l.sentAt)
 }
 
-// takeOver sets the earliest time for an order of this host: one turn after the last possible order
+// takeOver sets the earliest time for an order of this host: HandoverGap after the last possible order
 // of the previous holder. If that holder released the lease, its status listed its recent orders and
 // its own remaining wait. A process that finds its own host's record does not know the holder before
-// it, and waits one turn from its start.
+// it, and waits HandoverGap from its start.
 func (up *Updater) takeOver() {
 	l := &up.lease
 	switch {
--- a/updater/status.go
+++ b/updater/status.go
@@ -36,7 +36,7 @@
 	return s
 }
 
-// recentOrders returns, for each engine that any host ordered within the last turn, how long ago
+// recentOrders returns, for each engine that any host ordered within the last HandoverGap, how long ago
 // that was. Orders reported by other hosts are included, so that they survive several handovers.
 func (up *Updater) recentOrders(now time.Time) map[string]time.Duration {
 	out := make(map[string]time.Duration)
--- a/updater/updater.go
+++ b/updater/updater.go
@@ -15,7 +15,7 @@
 // Options configure an Updater.
 type Options struct {
 	Host        string
-	Term        time.Duration // Term is how long a hold lasts without renewal.
+	Term        time.Duration // Term is how long the lease lasts without renewal.
 	HandoverGap time.Duration // HandoverGap is the minimum time between orders of two hosts to one engine.
 	Margin      time.Duration // Margin covers timer delays and clock drift.
 	AtOnce      int           // AtOnce is the minimum number of engines that may load concurrently.
@@ -32,7 +32,7 @@
 	pollInterval      = 150 * time.Millisecond  // pollInterval is the time between polls of a loading engine.
 	orderRetryDelay   = 2500 * time.Millisecond // orderRetryDelay applies to an unanswered order, which may still be executed.
 	refusalRetryDelay = 300 * time.Millisecond  // refusalRetryDelay applies to a refused order.
-	holderTimeout     = 600 * time.Millisecond  // holderTimeout is the silence after which a holder is assumed to be gone.
+	holderTimeout     = 600 * time.Millisecond  // holderTimeout is the silence after which a holder is assumed to have failed.
 	statusTTL         = time.Second             // statusTTL is how long the engine lists in a holder's status are valid.
 )
 
@@ -48,7 +48,7 @@
 	Record Record
 }
 
-// Order tells an engine to load a weight version.
+// Order is a command to an engine to load a weight version.
 type Order struct {
 	Upstream follower.Upstream
 	Model    string
@@ -89,7 +89,7 @@
 type Status struct {
 	Lease   Lease                    `cbor:"1,keyasint"`           // Lease is the newest record known to the host.
 	Holding bool                     `cbor:"2,keyasint,omitempty"` // Holding reports whether the host holds the lease.
-	Stopped bool                     `cbor:"3,keyasint,omitempty"` // Stopped reports that Lease is the host's own and has been given up.
+	Stopped bool                     `cbor:"3,keyasint,omitempty"` // Stopped reports that Lease is the host's own and was released.
 	Ordered map[string]time.Duration `cbor:"4,keyasint,omitempty"` // Ordered is the time since the last order to each engine.
 	Wait    time.Duration            `cbor:"7,keyasint,omitempty"` // Wait is the remaining delay before the host's own first order.
 	Loading []string                 `cbor:"5,keyasint,omitempty"` // Loading are engines that were ordered to load.
@@ -248,7 +248,7 @@
 	return true
 }
 
-// updateJob creates the job of an engine, or updates it to a newly named version.
+// updateJob creates the job of an engine, or updates it to a new version.
 func (up *Updater) updateJob(now time.Time, u *follower.Upstream, model string, version uint64) {
 	j := up.jobs[u.ID]
 	if j != nil && j.born != u.Born {
