--- a/controller/configuration.go
+++ b/controller/configuration.go
@@ -65,5 +65,5 @@
 	n.setLimits(now)
 }
 
-// Configuration returns the configuration in force.
+// Configuration returns the state of the configuration: the document in force and recent results.
 func (n *Node) Configuration() *configurer.State { return n.config }
